--- a/src/orders/orders.cpp
+++ b/src/orders/orders.cpp
@@ -13,8 +13,8 @@
 const std::string Prefix = "/indigoway/orders/";
 constexpr Duration RoundInterval = std::chrono::seconds(1);
 constexpr Duration KeepAliveInterval = std::chrono::seconds(4);
-/** An engine loads a model for a while; meanwhile it is not ordered again. */
-constexpr Duration OrderAgainAfter = std::chrono::seconds(30);
+/** Time for loading a model, in which an engine gets no further order. */
+constexpr Duration OrderRetryInterval = std::chrono::seconds(30);
 
 std::string keyOf(const Cell &cell)
 {
@@ -26,15 +26,15 @@
 void Orders::report(const ReportArrived &report)
 {
     if (report.isOk && !report.version.empty()) {
-        m_versions[report.server] = report.version;
+        m_reportedVersions[report.server] = report.version;
     }
 }
 
 void Orders::finished(Turn &turn, const OrderFinished &event)
 {
     if (!event.isAccepted) {
-        m_underway.erase(event.server);
-        turn.log("backend server " + event.server.text() + " did not take an order");
+        m_issuedAt.erase(event.server);
+        turn.log("backend server " + event.server.text() + " did not accept an order");
     }
 }
 
@@ -48,35 +48,36 @@
     m_calls.erase(it);
     const auto *result = std::get_if<StoreResult>(&answer.outcome);
     switch (call.purpose) {
-    case Purpose::Lease:
+    case Purpose::GrantLease:
         if (result) {
             m_lease = result->lease;
-            m_safeUntil = call.sent + SafeTime;
+            m_lockValidUntil = call.sent + SafeTime;
         }
         break;
     case Purpose::KeepAlive:
         if (result && result->isApplied) {
-            // From when it was sent: the store may have extended the lease at any time since.
-            m_safeUntil = std::max(m_safeUntil, call.sent + SafeTime);
+            // Counted from when the call was sent, since the store may have extended the lease
+            // at any time after that.
+            m_lockValidUntil = std::max(m_lockValidUntil, call.sent + SafeTime);
         } else if (result) {
-            loseAll();
+            dropAllLocks();
         }
         break;
-    case Purpose::Take:
+    case Purpose::AcquireLock:
         if (result) {
-            taken(turn, call.cell, *result);
+            handleAcquireAnswer(turn, call.cell, *result);
         } else {
-            m_holds.erase(call.cell);
+            m_locks.erase(call.cell);
         }
         break;
-    case Purpose::Confirm:
+    case Purpose::ConfirmLock:
         if (result) {
-            confirmed(turn, call.cell, *result);
+            handleConfirmAnswer(turn, call.cell, *result);
         } else {
-            m_holds.erase(call.cell);
+            m_locks.erase(call.cell);
         }
         break;
-    case Purpose::Release:
+    case Purpose::ReleaseLock:
         break;
     }
     return true;
@@ -87,10 +88,10 @@
     for (const Timer timer : m_timers.takeDue(turn.now)) {
         if (timer == Timer::Round) {
             m_timers.set(timer, turn.now + RoundInterval);
-            round(turn, scheduler);
+            runRound(turn, scheduler);
         } else {
             m_timers.set(timer, turn.now + KeepAliveInterval);
-            if (m_lease != 0 && !m_holds.empty()) {
+            if (m_lease != 0 && !m_locks.empty()) {
                 callStore(turn, Purpose::KeepAlive, {}, StoreKeepAlive {m_lease});
             }
         }
@@ -106,41 +107,42 @@
 std::vector<OrderHoldView> Orders::holds(TimePoint now) const
 {
     std::vector<OrderHoldView> views;
-    for (const auto &[cell, hold] : m_holds) {
-        if (hold.state == State::Held) {
-            views.push_back({cell, hold.fence, std::max(Duration(0), Duration(m_safeUntil - now))});
+    for (const auto &[cell, lock] : m_locks) {
+        if (lock.state == State::Held) {
+            views.push_back(
+                {cell, lock.fence, std::max(Duration(0), Duration(m_lockValidUntil - now))});
         }
     }
     return views;
 }
 
-void Orders::round(Turn &turn, const Scheduler &scheduler)
+void Orders::runRound(Turn &turn, const Scheduler &scheduler)
 {
     const std::vector<Cell> cells = scheduler.cells();
     for (const Cell &cell : cells) {
-        const bool isHeld = m_holds.contains(cell);
-        if (behind(turn, cell).empty()) {
+        const bool isHeld = m_locks.contains(cell);
+        if (outdatedServers(turn, cell).empty()) {
             if (isHeld) {
-                release(turn, cell);
+                releaseLock(turn, cell);
             }
         } else if (!isHeld) {
-            take(turn, cell);
-        } else if (m_holds.at(cell).state == State::Held) {
-            give(turn, cell, m_holds.at(cell).fence);
+            acquireLock(turn, cell);
+        } else if (m_locks.at(cell).state == State::Held) {
+            issueOrders(turn, cell, m_locks.at(cell).fence);
         }
     }
     std::vector<Cell> former;
-    for (const auto &[cell, hold] : m_holds) {
+    for (const auto &[cell, lock] : m_locks) {
         if (std::find(cells.begin(), cells.end(), cell) == cells.end()) {
             former.push_back(cell);
         }
     }
     for (const Cell &cell : former) {
-        release(turn, cell);
+        releaseLock(turn, cell);
     }
 }
 
-std::vector<ServerName> Orders::behind(const Turn &turn, const Cell &cell) const
+std::vector<ServerName> Orders::outdatedServers(const Turn &turn, const Cell &cell) const
 {
     std::vector<ServerName> servers;
     const Target *target = turn.deployment.target(cell.target);
@@ -149,8 +151,9 @@
     }
     for (const Role role : {Role::Prefill, Role::Decode}) {
         for (const ServerName &name : turn.cells.servers(cell, role)) {
-            const auto version = m_versions.find(name);
-            const bool isBehind = version != m_versions.end() && version->second != target->version;
+            const auto version = m_reportedVersions.find(name);
+            const bool isBehind =
+                version != m_reportedVersions.end() && version->second != target->version;
             if (isBehind && turn.deployment.server(name)->state != ServerState::Stopped) {
                 servers.push_back(name);
                 break;
@@ -160,56 +163,56 @@
     return servers;
 }
 
-void Orders::take(Turn &turn, const Cell &cell)
+void Orders::acquireLock(Turn &turn, const Cell &cell)
 {
     if (m_lease == 0) {
-        const bool isAsked = std::any_of(m_calls.begin(), m_calls.end(), [](const auto &call) {
-            return call.second.purpose == Purpose::Lease;
+        const bool isRequested = std::any_of(m_calls.begin(), m_calls.end(), [](const auto &call) {
+            return call.second.purpose == Purpose::GrantLease;
         });
-        if (!isAsked) {
-            callStore(turn, Purpose::Lease, cell, StoreGrantLease {LeaseTime});
+        if (!isRequested) {
+            callStore(turn, Purpose::GrantLease, cell, StoreGrantLease {LeaseTime});
         }
         return;
     }
-    if (turn.now >= m_safeUntil && m_holds.empty()) {
-        m_lease = 0; // Not extended while nothing was held; the next round asks for a new one.
+    if (turn.now >= m_lockValidUntil && m_locks.empty()) {
+        m_lease = 0; // It is not extended while no lock is held; the next round requests a new one.
         return;
     }
-    m_holds[cell] = {};
+    m_locks[cell] = {};
     StoreTransaction create;
     create.conditions = {{keyOf(cell), 0, std::nullopt}};
-    create.puts = {{keyOf(cell), record(turn), m_lease}};
+    create.puts = {{keyOf(cell), recordText(turn), m_lease}};
     create.elseGet = {keyOf(cell)};
-    callStore(turn, Purpose::Take, cell, create);
+    callStore(turn, Purpose::AcquireLock, cell, create);
 }
 
-void Orders::give(Turn &turn, const Cell &cell, std::uint64_t fence)
+void Orders::issueOrders(Turn &turn, const Cell &cell, std::uint64_t fence)
 {
-    // First of all, for a holder that was paused wakes here and believes: is there still time?
-    const TimePoint notAfter = m_safeUntil - OrderTimeout;
+    // Checked first, since the lease may have expired while this process was paused.
+    const TimePoint notAfter = m_lockValidUntil - OrderTimeout;
     if (turn.now >= notAfter) {
         return;
     }
     const Target &target = *turn.deployment.target(cell.target);
-    for (const ServerName &name : behind(turn, cell)) {
-        const auto underway = m_underway.find(name);
-        if (underway != m_underway.end() && turn.now - underway->second < OrderAgainAfter) {
+    for (const ServerName &name : outdatedServers(turn, cell)) {
+        const auto underway = m_issuedAt.find(name);
+        if (underway != m_issuedAt.end() && turn.now - underway->second < OrderRetryInterval) {
             continue;
         }
-        m_underway[name] = turn.now;
+        m_issuedAt[name] = turn.now;
         turn.add(IssueOrder {name, turn.deployment.server(name)->address, fence, target.name.text(),
                              target.version, notAfter});
-        turn.log("orders version " + target.version + " on " + name.text());
+        turn.log("ordered version " + target.version + " on backend server " + name.text());
     }
 }
 
-void Orders::release(Turn &turn, const Cell &cell)
+void Orders::releaseLock(Turn &turn, const Cell &cell)
 {
-    m_holds.erase(cell);
+    m_locks.erase(cell);
     StoreTransaction transaction;
-    transaction.conditions = {{keyOf(cell), 0, record(turn)}};
+    transaction.conditions = {{keyOf(cell), 0, recordText(turn)}};
     transaction.deletes = {keyOf(cell)};
-    callStore(turn, Purpose::Release, cell, transaction);
+    callStore(turn, Purpose::ReleaseLock, cell, transaction);
 }
 
 void Orders::callStore(Turn &turn, Purpose purpose, const Cell &cell, StoreRequest request)
@@ -217,44 +220,44 @@
     m_calls[turn.callStore(std::move(request))] = {purpose, cell, turn.now};
 }
 
-void Orders::taken(Turn &turn, const Cell &cell, const StoreResult &result)
+void Orders::handleAcquireAnswer(Turn &turn, const Cell &cell, const StoreResult &result)
 {
-    const auto hold = m_holds.find(cell);
-    if (hold == m_holds.end()) {
+    const auto lock = m_locks.find(cell);
+    if (lock == m_locks.end()) {
         return;
     }
-    const bool isMine = result.isApplied
-        || (!result.entries.empty() && result.entries.front().value == record(turn));
-    if (!isMine) {
-        m_holds.erase(hold);
+    const bool isOwn = result.isApplied
+        || (!result.entries.empty() && result.entries.front().value == recordText(turn));
+    if (!isOwn) {
+        m_locks.erase(lock);
         return;
     }
-    hold->second.state = State::Confirming;
-    callStore(turn, Purpose::Confirm, cell, StoreGet {keyOf(cell)});
+    lock->second.state = State::Confirming;
+    callStore(turn, Purpose::ConfirmLock, cell, StoreGet {keyOf(cell)});
 }
 
-void Orders::confirmed(Turn &turn, const Cell &cell, const StoreResult &result)
+void Orders::handleConfirmAnswer(Turn &turn, const Cell &cell, const StoreResult &result)
 {
-    const auto hold = m_holds.find(cell);
-    if (hold == m_holds.end()) {
+    const auto lock = m_locks.find(cell);
+    if (lock == m_locks.end()) {
         return;
     }
-    if (result.entries.empty() || result.entries.front().value != record(turn)) {
-        m_holds.erase(hold);
+    if (result.entries.empty() || result.entries.front().value != recordText(turn)) {
+        m_locks.erase(lock);
         return;
     }
-    hold->second = {State::Held, static_cast<std::uint64_t>(result.entries.front().modRevision)};
+    lock->second = {State::Held, static_cast<std::uint64_t>(result.entries.front().modRevision)};
 }
 
-void Orders::loseAll()
+void Orders::dropAllLocks()
 {
     m_lease = 0;
-    m_holds.clear();
+    m_locks.clear();
 }
 
-std::string Orders::record(const Turn &turn) const
+std::string Orders::recordText(const Turn &turn) const
 {
-    // With the lease: a key of this node under an earlier lease is not this hold.
+    // Includes the lease, so that a key under an earlier lease of this node does not match.
     const NodeLife &life = turn.members.life();
     return life.node.text() + ' ' + std::to_string(life.incarnation.value()) + ' '
         + std::to_string(m_lease);
--- a/src/orders/orders.h
+++ b/src/orders/orders.h
@@ -16,35 +16,36 @@
 class Scheduler;
 class Turn;
 
-/** A cell's orders that this node may give, as operators see them. */
+/** The lock under which this node issues a cell's orders, as shown to operators. */
 struct OrderHoldView
 {
     Cell cell;
     std::uint64_t fence = 0;
-    Duration safeFor {}; ///< How long it may still give orders without hearing from the store.
+    Duration safeFor {}; ///< Remaining time for which orders may be issued.
 };
 
 /**
- * Orders to engines: brings each to the model version that its target declares, one server of a
- * pool at a time. Orders for a cell are given by one holder of a key under a lease, with the
- * key's modification revision as fencing number, which rises with each holder.
+ * Orders the engines to serve the model version that their target declares, one server of each role
+ * in a cell at a time. The orders of a cell are issued by the holder of a lock, which is a key
+ * under a lease. The key's modification revision is the fencing number and rises with each holder.
  *
- * Engines that check the number refuse a former holder. With those that do not, only time
- * protects: a holder gives no order later than half of its lease after it last asked for an
- * extension, by its own clock, and each order names the time after which it must not be sent.
+ * Engines that check the fencing number reject a former holder. For the other engines the lock
+ * relies on time: by its own clock, a holder issues no order later than half of the lease time
+ * after its last successful extension was sent, and each order carries the time after which it must
+ * not be sent.
  */
 class Orders
 {
 public:
-    /** Times that the proofs rely on. */
+    /** Times on which the mutual exclusion of holders relies. */
     static constexpr Duration LeaseTime = std::chrono::seconds(20);
     static constexpr Duration SafeTime = std::chrono::seconds(10);
     static constexpr Duration OrderTimeout = std::chrono::seconds(2);
 
-    /** Takes note of the version that a server says it has. */
+    /** Records the model version that a server reports. */
     void report(const ReportArrived &report);
     void finished(Turn &turn, const OrderFinished &event);
-    /** Returns whether the call was one of this subsystem's. */
+    /** Handles an answer of the store. @return whether the call was made by this class */
     bool storeAnswered(Turn &turn, const StoreAnswered &answer);
     void runDue(Turn &turn, const Scheduler &scheduler);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
@@ -53,25 +54,25 @@
 
 private:
     enum class State {
-        Taking,
-        Confirming, ///< Reads the key back for its revision.
+        Acquiring,
+        Confirming, ///< Reading the key for its modification revision.
         Held,
     };
-    struct Hold
+    struct Lock
     {
-        State state = State::Taking;
+        State state = State::Acquiring;
         std::uint64_t fence = 0;
     };
     enum class Purpose {
-        Lease,
+        GrantLease,
         KeepAlive,
-        Take,
-        Confirm,
-        Release,
+        AcquireLock,
+        ConfirmLock,
+        ReleaseLock,
     };
     struct Call
     {
-        Purpose purpose = Purpose::Lease;
+        Purpose purpose = Purpose::GrantLease;
         Cell cell;
         TimePoint sent {};
     };
@@ -80,25 +81,25 @@
         KeepAlive,
     };
 
-    void round(Turn &turn, const Scheduler &scheduler);
-    /** The first server of each pool of @p cell that has not the declared version. */
-    std::vector<ServerName> behind(const Turn &turn, const Cell &cell) const;
-    void take(Turn &turn, const Cell &cell);
-    void give(Turn &turn, const Cell &cell, std::uint64_t fence);
-    void release(Turn &turn, const Cell &cell);
+    void runRound(Turn &turn, const Scheduler &scheduler);
+    /** Returns the first server per role in @p cell that does not have the declared version. */
+    std::vector<ServerName> outdatedServers(const Turn &turn, const Cell &cell) const;
+    void acquireLock(Turn &turn, const Cell &cell);
+    void issueOrders(Turn &turn, const Cell &cell, std::uint64_t fence);
+    void releaseLock(Turn &turn, const Cell &cell);
     void callStore(Turn &turn, Purpose purpose, const Cell &cell, StoreRequest request);
-    void taken(Turn &turn, const Cell &cell, const StoreResult &result);
-    void confirmed(Turn &turn, const Cell &cell, const StoreResult &result);
-    void loseAll();
-    std::string record(const Turn &turn) const;
+    void handleAcquireAnswer(Turn &turn, const Cell &cell, const StoreResult &result);
+    void handleConfirmAnswer(Turn &turn, const Cell &cell, const StoreResult &result);
+    void dropAllLocks();
+    std::string recordText(const Turn &turn) const;
 
-    std::map<ServerName, std::string> m_versions;
-    std::map<ServerName, TimePoint> m_underway; ///< Orders not answered yet.
-    std::map<Cell, Hold> m_holds;
+    std::map<ServerName, std::string> m_reportedVersions;
+    std::map<ServerName, TimePoint> m_issuedAt; ///< Time of the latest order that was not rejected.
+    std::map<Cell, Lock> m_locks;
     std::map<StoreCallNumber, Call> m_calls;
     Deadlines<Timer> m_timers;
     std::int64_t m_lease = 0;
-    TimePoint m_safeUntil {};
+    TimePoint m_lockValidUntil {};
 };
 
 } // namespace indigoway
--- a/src/placement/cells.cpp
+++ b/src/placement/cells.cpp
@@ -24,11 +24,11 @@
         }
     }
     for (const auto &[name, target] : deployment.targets) {
-        std::size_t most = 1;
+        std::size_t largestRole = 1;
         for (const auto &[role, size] : sizes[name]) {
-            most = std::max(most, size);
+            largestRole = std::max(largestRole, size);
         }
-        const std::size_t count = (most + MostServersPerCell - 1) / MostServersPerCell;
+        const std::size_t count = (largestRole + MaxServersPerCell - 1) / MaxServersPerCell;
         m_counts[name] = static_cast<std::uint32_t>(count);
         for (std::uint32_t number = 0; number < count; ++number) {
             m_cells.push_back({name, number});
--- a/src/placement/cells.h
+++ b/src/placement/cells.h
@@ -12,8 +12,8 @@
 namespace indigoway {
 
 /**
- * A bounded part of a target's servers that one node schedules. The bound keeps a scheduler's
- * work and traffic independent of the fleet's size.
+ * Identifies a bounded subset of a target's servers that is scheduled by one node. The bound
+ * keeps a scheduler's work and traffic independent of the fleet's size.
  */
 struct Cell
 {
@@ -22,21 +22,21 @@
     auto operator<=>(const Cell &) const = default;
 };
 
-/** Servers that a cell holds on average at the most, per role. */
-constexpr std::size_t MostServersPerCell = 64;
+/** Upper bound of the mean number of servers per cell and role. */
+constexpr std::size_t MaxServersPerCell = 64;
 
-/** Which cells a deployment has and which servers are in them. Made once per revision. */
+/** Assigns the declared servers to cells. Built once per configuration revision. */
 class CellMap
 {
 public:
     CellMap() = default;
     explicit CellMap(const Deployment &deployment);
 
-    /** Number of cells of @p target; at least 1. */
+    /** Returns the number of cells of @p target, at least 1. */
     std::uint32_t count(const TargetName &target) const;
-    /** Null for a server that is not declared. */
+    /** Returns the cell of @p server, or null if the server is not declared. */
     const Cell *cellOf(const ServerName &server) const;
-    /** The cell's servers of @p role, in name order. */
+    /** Returns the servers of @p role in @p cell, in name order. */
     const std::vector<ServerName> &servers(const Cell &cell, Role role) const;
     const std::vector<Cell> &cells() const { return m_cells; }
 
@@ -48,9 +48,10 @@
 };
 
 /**
- * The node that looks after @p cell: rendezvous hashing (Thaler and Ravishankar, 1998) over
- * @p eligible, so that a node's coming or going moves only the cells it takes or had.
- * An empty name if nobody is eligible.
+ * Returns the node that schedules @p cell, chosen by rendezvous hashing (Thaler and Ravishankar,
+ * 1998) over @p eligible. When a node joins or leaves, only the cells that it gains or loses move.
+ *
+ * @return an empty name if @p eligible is empty
  */
 NodeName schedulerOf(const Cell &cell, const std::vector<NodeName> &eligible);
 
--- a/src/placement/cellscheduler.cpp
+++ b/src/placement/cellscheduler.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-/** Short prompts that an engine takes into one batch; more would queue in the engine, where
- * neither deadline nor priority orders them. */
+/** Prompt tokens assigned to a prefill server as one batch. More would wait in the engine's own
+ * queue, which ignores deadlines and priorities. */
 constexpr std::uint64_t PrefillBatchTokens = 2048;
-/** Work left on a server when the next may be sent, so that it does not idle for a round trip. */
+/** Remaining prefill time at which the next prompt is sent, so that the server does not idle for a
+ * round trip. */
 constexpr double PrefillOverlapSeconds = 0.02;
-/** A new scheduler waits this long for reports before it believes slots to be free. */
+/** Time for which a new scheduler waits for load reports before its first grant. */
 constexpr Duration SettlingTime = std::chrono::milliseconds(600);
-/** One grant in so many goes to the oldest late claim. */
-constexpr std::uint64_t LateShare = 8;
-/** One slot in so many is kept for claims with short targets while there are such. */
-constexpr std::int64_t ShortReserve = 16;
-constexpr Duration ShortWindow = std::chrono::seconds(30);
-constexpr int ShortFactor = 2;
-constexpr Duration LeastComeBack = std::chrono::seconds(1);
-constexpr Duration MostComeBack = std::chrono::minutes(5);
-/** Moves a claim by so much in the queue per step of priority. */
+/** Every n-th grant goes to the oldest late claim. */
+constexpr std::uint64_t GrantsPerLateGrant = 8;
+/** One of n decode slots is reserved for short targets, if such claims arrived recently. */
+constexpr std::int64_t SlotsPerReservedSlot = 16;
+constexpr Duration TargetWindow = std::chrono::seconds(30);
+constexpr int ShortTargetFactor = 2;
+constexpr Duration MinRetryAfter = std::chrono::seconds(1);
+constexpr Duration MaxRetryAfter = std::chrono::minutes(5);
+/** Shift of a claim's place in the queue per step of priority. */
 constexpr Duration PriorityStep = std::chrono::milliseconds(250);
 constexpr double ReleaseSmoothing = 0.05;
 
@@ -34,7 +35,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-std::string stageWord(bool isPrefill)
+std::string stageText(bool isPrefill)
 {
     return isPrefill ? "prefill" : "serving";
 }
@@ -43,56 +44,56 @@
 
 CellScheduler::CellScheduler(Cell cell, const Turn &turn)
     : m_cell(std::move(cell))
-    , m_since(turn.now)
+    , m_startedAt(turn.now)
     , m_servers(m_cell)
 { }
 
-void CellScheduler::claim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim)
+void CellScheduler::handleClaim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim)
 {
     const Target *declared = m_servers.target(turn);
     if (!declared) {
-        refuse(turn, number, NotGranted::Why::NoServer, LeastComeBack);
+        refuse(turn, number, NotGranted::Why::NoServer, MinRetryAfter);
         return;
     }
-    if (isRepetition(turn, number, claim)) {
+    if (answerRepeated(turn, number, claim)) {
         return;
     }
-    Waiting waiting {{number}, claim};
+    WaitingClaim waiting {{number}, claim};
     waiting.arrived = turn.now;
     waiting.deadline = turn.now + claim.untilDeadline;
     waiting.giveUpAt = turn.now + claim.patience;
-    waiting.order = waiting.deadline + PriorityStep * (static_cast<int>(claim.priority) - 4);
+    waiting.sortTime = waiting.deadline + PriorityStep * (static_cast<int>(claim.priority) - 4);
     if (!claim.isContinuation) {
-        noteTarget(turn.now, claim.untilDeadline);
+        recordTarget(turn.now, claim.untilDeadline);
     } else {
-        // Somebody is reading this answer: the gap grows with each moment of waiting.
-        waiting.order = turn.now;
-    }
-    waiting.isShort = claim.untilDeadline <= shortTarget() * ShortFactor;
-    waiting.cachedTokens = m_servers.mostCachedTokens(claim);
-    const Duration wait = waitBehind(backlogBefore(turn, waiting));
-    const bool isTooMany = this->waiting() >= declared->maxQueued;
-    if (isTooMany || turn.now + wait > waiting.giveUpAt) {
+        // The caller already receives tokens, so the wait shows as a gap in the stream.
+        waiting.sortTime = turn.now;
+    }
+    waiting.hasShortTarget = claim.untilDeadline <= shortestTarget() * ShortTargetFactor;
+    waiting.cachedTokens = m_servers.maxCachedTokens(claim);
+    const Duration wait = expectedWait(backlogAhead(turn, waiting));
+    const bool isQueueFull = this->waitingCount() >= declared->maxQueued;
+    if (isQueueFull || turn.now + wait > waiting.giveUpAt) {
         refuse(turn, number, NotGranted::Why::Overload, wait);
         return;
     }
     enqueue(std::move(waiting));
-    pump(turn);
+    processQueue(turn);
 }
 
-bool CellScheduler::isRepetition(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim)
+bool CellScheduler::answerRepeated(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim)
 {
     for (const auto &[granted, grant] : m_grants) {
         if (grant.claim.identity() == claim.identity()) {
-            // The grant's answer was lost. Granting anew would hold the capacity twice.
+            // The answer to the first claim was lost; a second grant would leak capacity.
             turn.reply(number, Granted {granted, grant.server});
             return true;
         }
     }
     for (Queue *queue : {&m_onTime, &m_late}) {
-        for (Waiting &waiting : *queue) {
+        for (WaitingClaim &waiting : *queue) {
             if (waiting.claim.identity() == claim.identity()) {
-                waiting.numbers.push_back(number);
+                waiting.replyNumbers.push_back(number);
                 return true;
             }
         }
@@ -103,19 +104,21 @@
 void CellScheduler::withdraw(Turn &turn, const ClaimIdentity &identity)
 {
     for (Queue *queue : {&m_onTime, &m_late}) {
-        std::erase_if(*queue,
-                      [&](const Waiting &waiting) { return waiting.claim.identity() == identity; });
+        std::erase_if(*queue, [&](const WaitingClaim &waiting) {
+            return waiting.claim.identity() == identity;
+        });
     }
     const auto granted = std::find_if(m_grants.begin(), m_grants.end(), [&](const auto &entry) {
         return entry.second.claim.identity() == identity;
     });
     if (granted != m_grants.end()) {
-        releaseLost(turn, granted->first);
+        reclaim(turn, granted->first);
     }
-    pump(turn);
+    processQueue(turn);
 }
 
-void CellScheduler::prefillEnded(Turn &turn, PeerRequestNumber number, const PrefillEnded &ended)
+void CellScheduler::handlePrefillEnded(Turn &turn, PeerRequestNumber number,
+                                       const PrefillEnded &ended)
 {
     const auto it = m_grants.find(ended.claim);
     if (it == m_grants.end() || it->second.stage != Stage::Prefill) {
@@ -127,45 +130,45 @@
     unassign(ended.claim, grant);
     --m_prefillInFlight;
     if (!ended.isOk) {
-        m_servers.load(from).failed(turn.now);
+        m_servers.load(from).recordFailure(turn.now);
         m_grants.erase(it);
         turn.reply(number, Acknowledged {});
-        pump(turn);
+        processQueue(turn);
         return;
     }
     ServerLoad &prefill = m_servers.load(from);
-    prefill.succeeded();
-    // Only a prefill that had the server to itself tells the server's speed.
-    if (prefill.assigned() == 0) {
+    prefill.recordSuccess();
+    // The speed is measured only by a prefill that ends with no other on the server.
+    if (prefill.assignedClaims() == 0) {
         const std::uint32_t cached = m_servers.cachedTokens(from, grant.claim);
         const std::uint32_t computed = grant.claim.promptTokens - cached;
         prefill.observePrefill(turn.now, computed, ended.elapsed);
-        m_servers.refreshMedians();
+        m_servers.updateMedians();
     }
-    m_servers.rememberPrefix(from, grant.claim);
+    m_servers.recordPrefix(from, grant.claim);
     const auto server = m_servers.chooseDecode(turn, ended.avoid);
     if (!server) {
         m_grants.erase(it);
-        refuse(turn, number, NotGranted::Why::NoServer, LeastComeBack);
-        pump(turn);
+        refuse(turn, number, NotGranted::Why::NoServer, MinRetryAfter);
+        processQueue(turn);
         return;
     }
     grant.stage = Stage::Decode;
     grant.server = *server;
-    grant.since = turn.now;
+    grant.stageStartedAt = turn.now;
     ServerLoad &load = m_servers.load(*server);
     load.assign(ended.claim, 0);
     const Target *declared = m_servers.target(turn);
-    const Pool *itsPool = turn.deployment.pool(turn.deployment.server(*server)->pool);
-    if (declared && itsPool && itsPool->linkRate > 0 && declared->kvBytes > 0) {
+    const Pool *pool = turn.deployment.pool(turn.deployment.server(*server)->pool);
+    if (declared && pool && pool->linkRate > 0 && declared->kvBytes > 0) {
         const double bytes = static_cast<double>(declared->kvBytes) * grant.claim.promptTokens;
-        load.takeLink(turn.now, duration(bytes / static_cast<double>(itsPool->linkRate)));
+        load.reserveLink(turn.now, duration(bytes / static_cast<double>(pool->linkRate)));
     }
     turn.reply(number, DecodeAssigned {*server});
-    pump(turn);
+    processQueue(turn);
 }
 
-void CellScheduler::release(Turn &turn, PeerRequestNumber number, const ReleaseClaim &release)
+void CellScheduler::handleRelease(Turn &turn, PeerRequestNumber number, const ReleaseClaim &release)
 {
     const auto it = m_grants.find(release.claim);
     if (it != m_grants.end()) {
@@ -176,22 +179,22 @@
         if (grant.stage == Stage::Prefill) {
             --m_prefillInFlight;
         } else {
-            noteRelease(turn.now);
+            recordRelease(turn.now);
             load.observeDecode(turn.now, release.tokens, release.decodeTime);
-            m_servers.refreshMedians();
+            m_servers.updateMedians();
         }
         if (release.serverFailed) {
-            load.failed(turn.now);
+            load.recordFailure(turn.now);
         } else if (grant.stage != Stage::Prefill) {
-            load.succeeded();
+            load.recordSuccess();
         }
     }
     turn.reply(number, Acknowledged {});
-    pump(turn);
+    processQueue(turn);
 }
 
-void CellScheduler::adopt(Turn &turn, PeerRequestNumber number, ClaimNumber claim,
-                          const AdoptClaim &adopted)
+void CellScheduler::handleAdopt(Turn &turn, PeerRequestNumber number, ClaimNumber claim,
+                                const AdoptClaim &adopted)
 {
     const Server *server = turn.deployment.server(adopted.server);
     if (!server) {
@@ -205,7 +208,7 @@
     grant.claim.target = adopted.target;
     grant.claim.outputTokens = adopted.outputTokens;
     grant.server = adopted.server;
-    grant.since = turn.now;
+    grant.stageStartedAt = turn.now;
     const auto role = turn.deployment.roleOf(adopted.server);
     grant.stage = role == Role::Prefill ? Stage::Prefill
         : role == Role::Decode          ? Stage::Decode
@@ -218,18 +221,18 @@
     turn.reply(number, Granted {claim, adopted.server});
 }
 
-void CellScheduler::report(Turn &turn, const ReportArrived &report)
+void CellScheduler::handleReport(Turn &turn, const ReportArrived &report)
 {
     ServerLoad &load = m_servers.load(report.server);
     if (!report.isOk) {
-        load.reportFailed();
+        load.recordMissedReport();
         return;
     }
-    load.report(turn.now, report.running + report.waiting);
-    pump(turn);
+    load.applyReport(turn.now, report.running + report.waiting);
+    processQueue(turn);
 }
 
-void CellScheduler::dropDeadOwners(Turn &turn)
+void CellScheduler::reclaimFromDeadOwners(Turn &turn)
 {
     std::vector<ClaimNumber> lost;
     for (const auto &[number, grant] : m_grants) {
@@ -238,35 +241,35 @@
         }
     }
     for (const ClaimNumber number : lost) {
-        releaseLost(turn, number);
+        reclaim(turn, number);
     }
     for (Queue *queue : {&m_onTime, &m_late}) {
-        std::erase_if(*queue, [&](const Waiting &waiting) {
+        std::erase_if(*queue, [&](const WaitingClaim &waiting) {
             return turn.members.deadSince(waiting.claim.owner).has_value();
         });
     }
-    pump(turn);
+    processQueue(turn);
 }
 
-void CellScheduler::configurationChanged(Turn &turn)
+void CellScheduler::handleConfigurationChanged(Turn &turn)
 {
-    m_servers.forgetRemoved(turn.deployment);
-    pump(turn);
+    m_servers.removeUndeclared(turn.deployment);
+    processQueue(turn);
 }
 
-void CellScheduler::pump(Turn &turn)
+void CellScheduler::processQueue(Turn &turn)
 {
     if (!isSettled(turn.now)) {
         return;
     }
-    markLate(turn);
-    while (waiting() > 0 && grantNext(turn)) { }
+    separateLateClaims(turn);
+    while (waitingCount() > 0 && grantNext(turn)) { }
 }
 
-void CellScheduler::handOver(Turn &turn)
+void CellScheduler::refuseWaiting(Turn &turn)
 {
     for (Queue *queue : {&m_onTime, &m_late}) {
-        for (const Waiting &waiting : *queue) {
+        for (const WaitingClaim &waiting : *queue) {
             refuse(turn, waiting, NotGranted::Why::NotScheduler, Duration::zero());
         }
         queue->clear();
@@ -276,16 +279,16 @@
 std::optional<TimePoint> CellScheduler::nextDeadline() const
 {
     std::optional<TimePoint> next;
-    for (const Waiting &waiting : m_onTime) {
+    for (const WaitingClaim &waiting : m_onTime) {
         next = earlier(next, waiting.giveUpAt);
         if (!waiting.claim.isContinuation) {
             next = earlier(next, waiting.deadline);
         }
     }
-    for (const Waiting &waiting : m_late) {
+    for (const WaitingClaim &waiting : m_late) {
         next = earlier(next, waiting.giveUpAt);
     }
-    return next ? std::optional(std::max(*next, m_since + SettlingTime)) : std::nullopt;
+    return next ? std::optional(std::max(*next, m_startedAt + SettlingTime)) : std::nullopt;
 }
 
 std::vector<GrantView> CellScheduler::grants(TimePoint now) const
@@ -293,18 +296,19 @@
     std::vector<GrantView> views;
     for (const auto &[number, grant] : m_grants) {
         views.push_back({number, grant.claim.owner, grant.claim.request,
-                         stageWord(grant.stage == Stage::Prefill), grant.server,
-                         now - grant.since});
+                         stageText(grant.stage == Stage::Prefill), grant.server,
+                         now - grant.stageStartedAt});
     }
     return views;
 }
 
 std::vector<std::pair<ClaimNumber, EngineRequestName>>
-CellScheduler::olderThan(TimePoint now, Duration prefillAge, Duration servingAge) const
+CellScheduler::claimsOlderThan(TimePoint now, Duration prefillAge, Duration servingAge) const
 {
     std::vector<std::pair<ClaimNumber, EngineRequestName>> found;
     for (const auto &[number, grant] : m_grants) {
-        if (now - grant.since >= (grant.stage == Stage::Prefill ? prefillAge : servingAge)) {
+        if (now - grant.stageStartedAt
+            >= (grant.stage == Stage::Prefill ? prefillAge : servingAge)) {
             found.emplace_back(
                 number,
                 engineRequestName(grant.claim.owner, grant.claim.request, grant.claim.attempt));
@@ -319,7 +323,7 @@
     return it == m_grants.end() ? NodeLife {} : it->second.claim.owner;
 }
 
-void CellScheduler::releaseLost(Turn &turn, ClaimNumber claim)
+void CellScheduler::reclaim(Turn &turn, ClaimNumber claim)
 {
     const auto it = m_grants.find(claim);
     if (it == m_grants.end()) {
@@ -335,7 +339,7 @@
 
 bool CellScheduler::isSettled(TimePoint now) const
 {
-    if (now - m_since >= SettlingTime) {
+    if (now - m_startedAt >= SettlingTime) {
         return true;
     }
     return m_servers.haveAllReported();
@@ -345,14 +349,14 @@
                                    std::uint32_t tokens) const
 {
     const ServerLoad *load = m_servers.find(server);
-    if (!load || load->assigned() == 0) {
+    if (!load || load->assignedClaims() == 0) {
         return true;
     }
     const std::uint64_t outstanding = load->prefillTokens();
     if (outstanding + tokens <= PrefillBatchTokens) {
         return true;
     }
-    if (load->assigned() > 1) {
+    if (load->assignedClaims() > 1) {
         return false;
     }
     const auto grant = std::find_if(m_grants.begin(), m_grants.end(), [&](const auto &entry) {
@@ -362,20 +366,23 @@
         return true;
     }
     const double expected =
-        m_servers.prefillSeconds(turn, server, static_cast<std::uint32_t>(outstanding));
-    const double elapsed = std::chrono::duration<double>(turn.now - grant->second.since).count();
+        m_servers.expectedPrefillSeconds(turn, server, static_cast<std::uint32_t>(outstanding));
+    const double elapsed =
+        std::chrono::duration<double>(turn.now - grant->second.stageStartedAt).count();
     return std::abs(expected - elapsed) < PrefillOverlapSeconds;
 }
 
-std::optional<ServerName> CellScheduler::choosePrefill(const Turn &turn, const Waiting &waiting,
-                                                       bool &isLong) const
+std::optional<ServerName> CellScheduler::choosePrefill(const Turn &turn,
+                                                       const WaitingClaim &waiting,
+                                                       bool &isLongPrefill) const
 {
     const ClaimCapacity &claim = waiting.claim;
-    const std::vector<ServerName> servers = m_servers.usable(turn, Role::Prefill, claim.avoid);
-    const double shortSeconds = std::chrono::duration<double>(shortTarget()).count();
-    std::size_t longRunning = 0;
+    const std::vector<ServerName> servers =
+        m_servers.usableServers(turn, Role::Prefill, claim.avoid);
+    const double shortSeconds = std::chrono::duration<double>(shortestTarget()).count();
+    std::size_t longPrefills = 0;
     for (const auto &[number, grant] : m_grants) {
-        longRunning += grant.stage == Stage::Prefill && grant.isLong ? 1 : 0;
+        longPrefills += grant.stage == Stage::Prefill && grant.isLongPrefill ? 1 : 0;
     }
     std::optional<ServerName> best;
     double bestSeconds = 0;
@@ -383,55 +390,55 @@
         const std::uint32_t tokens = claim.promptTokens - m_servers.cachedTokens(server, claim);
         const ServerLoad *load = m_servers.find(server);
         const std::uint64_t queued = load ? load->prefillTokens() : 0;
-        const double alone = m_servers.prefillSeconds(turn, server, tokens);
-        const bool wouldBeLong = !waiting.isShort && alone > shortSeconds / 2;
-        // One server is kept from long prompts: a lookup that comes while all of them prefill a
-        // chapter would miss its target, whatever the queue's order.
-        if (wouldBeLong && servers.size() > 1 && longRunning + 1 >= servers.size()) {
+        const double alone = m_servers.expectedPrefillSeconds(turn, server, tokens);
+        const bool exceedsShortTarget = !waiting.hasShortTarget && alone > shortSeconds / 2;
+        // One server is kept free of long prompts; otherwise a short prompt that arrives while
+        // all servers run long prefills would miss its target.
+        if (exceedsShortTarget && servers.size() > 1 && longPrefills + 1 >= servers.size()) {
             continue;
         }
         if (!hasPrefillRoom(turn, server, tokens)) {
             continue;
         }
-        const double total =
-            alone + m_servers.prefillSeconds(turn, server, static_cast<std::uint32_t>(queued));
+        const double total = alone
+            + m_servers.expectedPrefillSeconds(turn, server, static_cast<std::uint32_t>(queued));
         if (!best || total < bestSeconds) {
             best = server;
             bestSeconds = total;
-            isLong = wouldBeLong;
+            isLongPrefill = exceedsShortTarget;
         }
     }
     return best;
 }
 
-std::int64_t CellScheduler::reserveForShort(const Turn &turn) const
+std::int64_t CellScheduler::slotsReservedForShortTargets(const Turn &turn) const
 {
-    if (shortTarget() == Duration::max()) {
+    if (shortestTarget() == Duration::max()) {
         return 0;
     }
     const std::int64_t total = m_servers.totalSlots(turn, Role::Decode);
-    return total < ShortReserve ? 0 : total / ShortReserve;
+    return total < SlotsPerReservedSlot ? 0 : total / SlotsPerReservedSlot;
 }
 
-void CellScheduler::noteTarget(TimePoint now, Duration untilDeadline)
+void CellScheduler::recordTarget(TimePoint now, Duration untilDeadline)
 {
-    if (now >= m_shortWindowEnd) {
-        m_shortTargets[1] = m_shortTargets[0];
-        m_shortTargets[0] = Duration::max();
-        m_shortWindowEnd = now + ShortWindow;
+    if (now >= m_targetWindowEnd) {
+        m_shortestTargets[1] = m_shortestTargets[0];
+        m_shortestTargets[0] = Duration::max();
+        m_targetWindowEnd = now + TargetWindow;
     }
     if (untilDeadline > Duration::zero()) {
-        m_shortTargets[0] = std::min(m_shortTargets[0], untilDeadline);
+        m_shortestTargets[0] = std::min(m_shortestTargets[0], untilDeadline);
     }
 }
 
-Duration CellScheduler::shortTarget() const
+Duration CellScheduler::shortestTarget() const
 {
-    const Duration shortest = std::min(m_shortTargets[0], m_shortTargets[1]);
-    return shortest == Duration::max() ? Duration::max() / ShortFactor : shortest;
+    const Duration shortest = std::min(m_shortestTargets[0], m_shortestTargets[1]);
+    return shortest == Duration::max() ? Duration::max() / ShortTargetFactor : shortest;
 }
 
-CellScheduler::Backlog CellScheduler::backlog(const Turn &turn) const
+CellScheduler::Backlog CellScheduler::emptyBacklog(const Turn &turn) const
 {
     Backlog backlog;
     const Target *declared = m_servers.target(turn);
@@ -439,21 +446,22 @@
         return backlog;
     }
     backlog.freeSlots =
-        m_servers.freeInCell(turn, declared->isService ? Role::Service : Role::Decode)
+        m_servers.totalFreeSlots(turn, declared->isService ? Role::Service : Role::Decode)
         - static_cast<std::int64_t>(m_prefillInFlight);
-    for (const ServerName &server : m_servers.usable(turn, Role::Prefill, {})) {
-        const double speed = 1 / m_servers.prefillSeconds(turn, server, 1);
-        backlog.bestSpeed = std::max(backlog.bestSpeed, speed);
-        backlog.totalSpeed += speed;
+    for (const ServerName &server : m_servers.usableServers(turn, Role::Prefill, {})) {
+        const double speed = 1 / m_servers.expectedPrefillSeconds(turn, server, 1);
+        backlog.bestPrefillSpeed = std::max(backlog.bestPrefillSpeed, speed);
+        backlog.totalPrefillSpeed += speed;
     }
     return backlog;
 }
 
-CellScheduler::Backlog CellScheduler::backlogBefore(const Turn &turn, const Waiting &waiting) const
+CellScheduler::Backlog CellScheduler::backlogAhead(const Turn &turn,
+                                                   const WaitingClaim &waiting) const
 {
-    Backlog before = backlog(turn);
-    for (const Waiting &other : m_onTime) {
-        if (other.order > waiting.order) {
+    Backlog before = emptyBacklog(turn);
+    for (const WaitingClaim &other : m_onTime) {
+        if (other.sortTime > waiting.sortTime) {
             break;
         }
         addTo(before, other);
@@ -461,79 +469,81 @@
     return before;
 }
 
-void CellScheduler::addTo(Backlog &backlog, const Waiting &waiting)
+void CellScheduler::addTo(Backlog &backlog, const WaitingClaim &waiting)
 {
     ++backlog.claims;
     backlog.tokens += waiting.tokensToPrefill();
 }
 
-Duration CellScheduler::waitBehind(const Backlog &backlog) const
+Duration CellScheduler::expectedWait(const Backlog &backlog) const
 {
-    const double prefill =
-        backlog.totalSpeed > 0 ? static_cast<double>(backlog.tokens) / backlog.totalSpeed : 0;
+    const double prefill = backlog.totalPrefillSpeed > 0
+        ? static_cast<double>(backlog.tokens) / backlog.totalPrefillSpeed
+        : 0;
     const auto unserved = static_cast<double>(backlog.claims)
         - static_cast<double>(std::max<std::int64_t>(backlog.freeSlots, 0));
     const double decode = std::max(0.0, unserved) * m_releaseInterval;
     return duration(std::max(prefill, decode));
 }
 
-TimePoint CellScheduler::expectedFirstToken(TimePoint now, const Waiting &waiting,
+TimePoint CellScheduler::expectedFirstToken(TimePoint now, const WaitingClaim &waiting,
                                             const Backlog &ahead) const
 {
-    const double prefill = ahead.bestSpeed > 0 ? waiting.tokensToPrefill() / ahead.bestSpeed : 0;
-    return now + waitBehind(ahead) + duration(prefill);
+    const double prefill =
+        ahead.bestPrefillSpeed > 0 ? waiting.tokensToPrefill() / ahead.bestPrefillSpeed : 0;
+    return now + expectedWait(ahead) + duration(prefill);
 }
 
-void CellScheduler::giveUp(Turn &turn, Queue &queue, const Backlog &ahead)
+void CellScheduler::refuseExpired(Turn &turn, Queue &queue, const Backlog &ahead)
 {
     for (auto it = queue.begin(); it != queue.end();) {
         if (turn.now < it->giveUpAt) {
             ++it;
             continue;
         }
-        refuse(turn, *it, NotGranted::Why::Overload, waitBehind(ahead));
+        refuse(turn, *it, NotGranted::Why::Overload, expectedWait(ahead));
         it = queue.erase(it);
     }
 }
 
-void CellScheduler::markLate(Turn &turn)
+void CellScheduler::separateLateClaims(Turn &turn)
 {
-    if (waiting() == 0) {
+    if (waitingCount() == 0) {
         return;
     }
     const Target *declared = m_servers.target(turn);
     const bool refusesLate = declared && declared->late == LatePolicy::Refuse;
-    Backlog ahead = backlog(turn);
-    giveUp(turn, m_onTime, ahead);
+    Backlog ahead = emptyBacklog(turn);
+    refuseExpired(turn, m_onTime, ahead);
     for (auto it = m_onTime.begin(); it != m_onTime.end();) {
-        const auto present = it++;
-        const bool isHopeless = !present->claim.isContinuation
-            && expectedFirstToken(turn.now, *present, ahead) > present->deadline;
-        if (!isHopeless) {
-            addTo(ahead, *present);
+        const auto current = it++;
+        const bool missesTarget = !current->claim.isContinuation
+            && expectedFirstToken(turn.now, *current, ahead) > current->deadline;
+        if (!missesTarget) {
+            addTo(ahead, *current);
         } else if (refusesLate) {
-            refuse(turn, *present, NotGranted::Why::Overload, waitBehind(ahead));
-            m_onTime.erase(present);
+            refuse(turn, *current, NotGranted::Why::Overload, expectedWait(ahead));
+            m_onTime.erase(current);
         } else {
             const auto place =
-                std::find_if(m_late.rbegin(), m_late.rend(), [&](const Waiting &late) {
-                    return late.arrived <= present->arrived;
+                std::find_if(m_late.rbegin(), m_late.rend(), [&](const WaitingClaim &late) {
+                    return late.arrived <= current->arrived;
                 }).base();
-            m_late.splice(place, m_onTime, present);
+            m_late.splice(place, m_onTime, current);
         }
     }
-    giveUp(turn, m_late, ahead);
+    refuseExpired(turn, m_late, ahead);
 }
 
-bool CellScheduler::Blocked::covers(const Waiting &waiting) const
+bool CellScheduler::UnplaceableClaims::covers(const WaitingClaim &waiting) const
 {
-    const auto &from = waiting.isShort ? shortTokens : longTokens;
+    const auto &from = waiting.hasShortTarget ? shortTargetTokens : otherTokens;
     return from && waiting.tokensToPrefill() >= *from;
 }
 
-void CellScheduler::Blocked::add(const Waiting &waiting)
+void CellScheduler::UnplaceableClaims::add(const WaitingClaim &waiting)
 {
-    auto &from = waiting.isShort ? shortTokens : longTokens;
+    auto &from = waiting.hasShortTarget ? shortTargetTokens : otherTokens;
     from = std::min(from.value_or(waiting.tokensToPrefill()), waiting.tokensToPrefill());
 }
 
@@ -542,21 +552,22 @@
     const Target *declared = m_servers.target(turn);
     const Role role = declared && declared->isService ? Role::Service : Role::Decode;
     if (!declared
-        || m_servers.freeInCell(turn, role) - static_cast<std::int64_t>(m_prefillInFlight) <= 0) {
+        || m_servers.totalFreeSlots(turn, role) - static_cast<std::int64_t>(m_prefillInFlight)
+            <= 0) {
         return false;
     }
-    Blocked blocked;
-    const bool isTurnOfLate = m_grantCount % LateShare == LateShare - 1;
-    if (isTurnOfLate && !m_onTime.empty() && grantFirstFrom(turn, m_late, blocked)) {
+    UnplaceableClaims blocked;
+    const bool prefersLate = m_grantCount % GrantsPerLateGrant == GrantsPerLateGrant - 1;
+    if (prefersLate && !m_onTime.empty() && grantFirstFrom(turn, m_late, blocked)) {
         return true;
     }
     return grantFirstFrom(turn, m_onTime, blocked) || grantFirstFrom(turn, m_late, blocked);
 }
 
-bool CellScheduler::grantFirstFrom(Turn &turn, Queue &queue, Blocked &blocked)
+bool CellScheduler::grantFirstFrom(Turn &turn, Queue &queue, UnplaceableClaims &blocked)
 {
     for (auto it = queue.begin(); it != queue.end(); ++it) {
-        // With a long queue most claims are like one that was just tried in vain.
+        // Skips claims at least as large as one that could not be placed in this pass.
         if (blocked.covers(*it)) {
             continue;
         }
@@ -569,7 +580,7 @@
     return false;
 }
 
-bool CellScheduler::tryGrant(Turn &turn, const Waiting &waiting)
+bool CellScheduler::tryGrant(Turn &turn, const WaitingClaim &waiting)
 {
     const Target *declared = m_servers.target(turn);
     const ClaimNumber number = turn.numbers.next<ClaimNumber>();
@@ -583,14 +594,15 @@
         grant.server = *server;
         m_servers.load(*server).assign(number, 0);
     } else {
-        const std::int64_t reserve =
-            waiting.isShort || waiting.claim.isContinuation ? 0 : reserveForShort(turn);
-        const std::int64_t free = m_servers.freeInCell(turn, Role::Decode)
+        const std::int64_t reserve = waiting.hasShortTarget || waiting.claim.isContinuation
+            ? 0
+            : slotsReservedForShortTargets(turn);
+        const std::int64_t free = m_servers.totalFreeSlots(turn, Role::Decode)
             - static_cast<std::int64_t>(m_prefillInFlight) - reserve;
         if (free <= 0) {
             return false;
         }
-        const auto server = choosePrefill(turn, waiting, grant.isLong);
+        const auto server = choosePrefill(turn, waiting, grant.isLongPrefill);
         if (!server) {
             return false;
         }
@@ -602,38 +614,38 @@
     ++m_grantCount;
     turn.count(Counter::ClaimsGranted);
     turn.add(Observe {Histogram::QueueWait, turn.now - waiting.arrived});
-    for (const PeerRequestNumber asked : waiting.numbers) {
-        turn.reply(asked, Granted {number, grant.server});
+    for (const PeerRequestNumber replyNumber : waiting.replyNumbers) {
+        turn.reply(replyNumber, Granted {number, grant.server});
     }
     return true;
 }
 
-void CellScheduler::enqueue(Waiting waiting)
+void CellScheduler::enqueue(WaitingClaim waiting)
 {
-    const auto after = std::find_if(m_onTime.rbegin(), m_onTime.rend(), [&](const Waiting &other) {
-        return other.order <= waiting.order;
-    });
+    const auto after =
+        std::find_if(m_onTime.rbegin(), m_onTime.rend(),
+                     [&](const WaitingClaim &other) { return other.sortTime <= waiting.sortTime; });
     m_onTime.insert(after.base(), std::move(waiting));
 }
 
-void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why why,
-                           Duration comeBackAfter)
+void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why reason,
+                           Duration retryAfter)
 {
     turn.count(Counter::ClaimsRefused);
-    turn.reply(number, NotGranted {why, std::clamp(comeBackAfter, LeastComeBack, MostComeBack)});
+    turn.reply(number, NotGranted {reason, std::clamp(retryAfter, MinRetryAfter, MaxRetryAfter)});
 }
 
-void CellScheduler::refuse(Turn &turn, const Waiting &waiting, NotGranted::Why why,
-                           Duration comeBackAfter)
+void CellScheduler::refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Why reason,
+                           Duration retryAfter)
 {
-    for (const PeerRequestNumber number : waiting.numbers) {
-        refuse(turn, number, why, comeBackAfter);
+    for (const PeerRequestNumber number : waiting.replyNumbers) {
+        refuse(turn, number, reason, retryAfter);
     }
 }
 
-void CellScheduler::noteRelease(TimePoint now)
+void CellScheduler::recordRelease(TimePoint now)
 {
-    if (waiting() == 0) {
+    if (waitingCount() == 0) {
         m_lastRelease = {};
         return;
     }
--- a/src/placement/cellscheduler.h
+++ b/src/placement/cellscheduler.h
@@ -17,7 +17,7 @@
 
 class Turn;
 
-/** A claim that was granted and not yet released, as operators see it. */
+/** A claim that is granted and not yet released, as shown to operators. */
 struct GrantView
 {
     ClaimNumber claim;
@@ -29,46 +29,51 @@
 };
 
 /**
- * Grants the capacity of one cell. A claim holds a decode slot of the cell from before its
- * prefill until its release; which decode server it is, is decided when the prefill has ended.
- * Waiting claims are served earliest deadline first; those that can no longer meet their target
- * come after those that can, but a fixed share of grants goes to the oldest of them.
+ * Queues and grants the capacity claims of one cell. A granted claim occupies one decode slot of
+ * the cell from the start of its prefill until its release; the decode server is chosen when the
+ * prefill has ended. Waiting claims are served earliest deadline first. Claims that can no longer
+ * meet their target are served after the others, but a fixed share of the grants goes to the
+ * oldest of them.
  *
- * What is known here is a help, not a guard: engines refuse what does not fit them, and a second
- * scheduler of the same cell costs performance, never correctness.
+ * The scheduler's view of the servers is advisory: engines reject requests that exceed their
+ * capacity, so two schedulers of the same cell reduce performance but not correctness.
  */
 class CellScheduler
 {
 public:
     CellScheduler(Cell cell, const Turn &turn);
 
-    void claim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim);
-    void prefillEnded(Turn &turn, PeerRequestNumber number, const PrefillEnded &ended);
-    void release(Turn &turn, PeerRequestNumber number, const ReleaseClaim &release);
-    void adopt(Turn &turn, PeerRequestNumber number, ClaimNumber claim, const AdoptClaim &adopted);
-    bool holds(ClaimNumber claim) const { return m_grants.contains(claim); }
-    /** Drops a claim whose owner has not heard of its grant, granted or not. */
+    void handleClaim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim);
+    void handlePrefillEnded(Turn &turn, PeerRequestNumber number, const PrefillEnded &ended);
+    void handleRelease(Turn &turn, PeerRequestNumber number, const ReleaseClaim &release);
+    void handleAdopt(Turn &turn, PeerRequestNumber number, ClaimNumber claim,
+                     const AdoptClaim &adopted);
+    bool hasGrant(ClaimNumber claim) const { return m_grants.contains(claim); }
+    /** Removes the claim of @p identity, whether it is waiting or already granted. */
     void withdraw(Turn &turn, const ClaimIdentity &identity);
 
-    void report(Turn &turn, const ReportArrived &report);
-    void cacheEvents(const CacheEventsArrived &events) { m_servers.cacheEvents(events); }
-    /** Releases what dead nodes held and refuses what they waited for. */
-    void dropDeadOwners(Turn &turn);
-    /** Takes in servers added and removed. */
-    void configurationChanged(Turn &turn);
-    /** Grants what can be granted and refuses what has waited too long. */
-    void pump(Turn &turn);
-    /** Refuses all that wait: the cell is now another node's. */
-    void handOver(Turn &turn);
+    void handleReport(Turn &turn, const ReportArrived &report);
+    void handleCacheEvents(const CacheEventsArrived &events) { m_servers.applyCacheEvents(events); }
+    /** Reclaims the grants of dead nodes and drops their waiting claims. */
+    void reclaimFromDeadOwners(Turn &turn);
+    /** Removes the load data of undeclared servers and processes the queue. */
+    void handleConfigurationChanged(Turn &turn);
+    /** Grants waiting claims while there is capacity and refuses those out of patience. */
+    void processQueue(Turn &turn);
+    /** Refuses all waiting claims because another node now schedules the cell. */
+    void refuseWaiting(Turn &turn);
 
     std::optional<TimePoint> nextDeadline() const;
     std::vector<GrantView> grants(TimePoint now) const;
-    std::size_t waiting() const { return m_onTime.size() + m_late.size(); }
-    /** Claims older than @p age, for the check whether their owners still know them. */
+    std::size_t waitingCount() const { return m_onTime.size() + m_late.size(); }
+    /**
+     * Returns the claims that have been in their stage for at least @p prefillAge or
+     * @p servingAge, so that their owners can be asked whether they still hold them.
+     */
     std::vector<std::pair<ClaimNumber, EngineRequestName>>
-    olderThan(TimePoint now, Duration prefillAge, Duration servingAge) const;
+    claimsOlderThan(TimePoint now, Duration prefillAge, Duration servingAge) const;
     NodeLife ownerOfClaim(ClaimNumber claim) const;
-    void releaseLost(Turn &turn, ClaimNumber claim);
+    void reclaim(Turn &turn, ClaimNumber claim);
 
 private:
     enum class Stage {
@@ -81,82 +86,89 @@
         ClaimCapacity claim;
         Stage stage = Stage::Prefill;
         ServerName server;
-        TimePoint since {};
-        bool isLong = false;
+        TimePoint stageStartedAt {};
+        bool isLongPrefill = false;
     };
-    struct Waiting
+    struct WaitingClaim
     {
-        std::vector<PeerRequestNumber> numbers; ///< Of the call, and of its repetitions.
+        std::vector<PeerRequestNumber> replyNumbers; ///< Of the claim and its repetitions.
         ClaimCapacity claim;
         TimePoint arrived {};
         TimePoint deadline {};
         TimePoint giveUpAt {};
-        TimePoint order {};
-        bool isShort = false;
-        std::uint32_t cachedTokens = 0; ///< On the best server, when it came.
+        TimePoint sortTime {};
+        bool hasShortTarget = false;
+        std::uint32_t cachedTokens = 0; ///< On the best server at arrival.
 
         std::uint32_t tokensToPrefill() const { return claim.promptTokens - cachedTokens; }
     };
-    using Queue = std::list<Waiting>;
+    using Queue = std::list<WaitingClaim>;
 
-    /** Answers a claim that was made before; false if this one is new. */
-    bool isRepetition(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim);
+    /** Answers a repeated claim, or queues the answer; returns false if the claim is new. */
+    bool answerRepeated(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim);
     bool isSettled(TimePoint now) const;
-    std::optional<ServerName> choosePrefill(const Turn &turn, const Waiting &waiting,
-                                            bool &isLong) const;
+    std::optional<ServerName> choosePrefill(const Turn &turn, const WaitingClaim &waiting,
+                                            bool &isLongPrefill) const;
     bool hasPrefillRoom(const Turn &turn, const ServerName &server, std::uint32_t tokens) const;
-    std::int64_t reserveForShort(const Turn &turn) const;
-    void noteTarget(TimePoint now, Duration untilDeadline);
-    Duration shortTarget() const;
-    /** What waits before a claim, and what there is to serve it; made once per pass. */
+    std::int64_t slotsReservedForShortTargets(const Turn &turn) const;
+    void recordTarget(TimePoint now, Duration untilDeadline);
+    Duration shortestTarget() const;
+    /** Work that is served before a claim, and the capacity that serves it. */
     struct Backlog
     {
         std::size_t claims = 0;
-        std::uint64_t tokens = 0; ///< Prompt tokens, those being prefilled included.
+        std::uint64_t tokens = 0; ///< Prompt tokens to prefill.
         std::int64_t freeSlots = 0;
-        double bestSpeed = 0; ///< Tokens a second of the fastest usable prefill server.
-        double totalSpeed = 0;
+        double bestPrefillSpeed = 0; ///< Of the fastest usable server, in tokens per second.
+        double totalPrefillSpeed = 0;
     };
-    Backlog backlog(const Turn &turn) const;
-    Backlog backlogBefore(const Turn &turn, const Waiting &waiting) const;
-    static void addTo(Backlog &backlog, const Waiting &waiting);
-    /** How long a claim behind @p backlog is expected to wait for its grant. */
-    Duration waitBehind(const Backlog &backlog) const;
-    TimePoint expectedFirstToken(TimePoint now, const Waiting &waiting, const Backlog &ahead) const;
-    void giveUp(Turn &turn, Queue &queue, const Backlog &ahead);
-    void markLate(Turn &turn);
-    /** What one pass over the queues found that cannot be granted now. */
-    struct Blocked
+    Backlog emptyBacklog(const Turn &turn) const;
+    Backlog backlogAhead(const Turn &turn, const WaitingClaim &waiting) const;
+    static void addTo(Backlog &backlog, const WaitingClaim &waiting);
+    /** Returns the time that a claim behind @p backlog is expected to wait for its grant. */
+    Duration expectedWait(const Backlog &backlog) const;
+    TimePoint expectedFirstToken(TimePoint now, const WaitingClaim &waiting,
+                                 const Backlog &ahead) const;
+    void refuseExpired(Turn &turn, Queue &queue, const Backlog &ahead);
+    void separateLateClaims(Turn &turn);
+    /** Prefill sizes that cannot be granted in the current pass over the queues. */
+    struct UnplaceableClaims
     {
-        std::optional<std::uint32_t> shortTokens; ///< Short claims from this many tokens on.
-        std::optional<std::uint32_t> longTokens;
+        /** Fewest tokens of a claim with a short target, and of any other claim. */
+        std::optional<std::uint32_t> shortTargetTokens;
+        std::optional<std::uint32_t> otherTokens;
 
-        bool covers(const Waiting &waiting) const;
-        void add(const Waiting &waiting);
+        bool covers(const WaitingClaim &waiting) const;
+        void add(const WaitingClaim &waiting);
     };
     bool grantNext(Turn &turn);
-    bool grantFirstFrom(Turn &turn, Queue &queue, Blocked &blocked);
-    bool tryGrant(Turn &turn, const Waiting &waiting);
-    void enqueue(Waiting waiting);
-    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why why, Duration comeBackAfter);
-    void refuse(Turn &turn, const Waiting &waiting, NotGranted::Why why, Duration comeBackAfter);
-    void noteRelease(TimePoint now);
+    bool grantFirstFrom(Turn &turn, Queue &queue, UnplaceableClaims &blocked);
+    bool tryGrant(Turn &turn, const WaitingClaim &waiting);
+    void enqueue(WaitingClaim waiting);
+    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why reason, Duration retryAfter);
+    void refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Why reason,
+                Duration retryAfter);
+    void recordRelease(TimePoint now);
     void unassign(ClaimNumber number, const Grant &grant);
 
     Cell m_cell;
-    TimePoint m_since;
+    TimePoint m_startedAt;
     CellServers m_servers;
     std::map<ClaimNumber, Grant> m_grants;
-    Queue m_onTime; ///< By deadline and priority.
-    Queue m_late;   ///< Cannot meet their target any more; by arrival.
+    Queue m_onTime; ///< In order of deadline and priority.
+    Queue m_late;   ///< Can no longer meet their target; in order of arrival.
     std::uint64_t m_grantCount = 0;
-    /** Between releases while claims wait, smoothed, in seconds; 0 before two such. Taken only
-     * then: the pace of an idle cell says nothing of its capacity. */
+    /**
+     * Smoothed interval between releases in seconds; 0 until two releases have been observed.
+     * Measured only while claims wait, since the release rate of an idle cell does not show its
+     * capacity.
+     */
     double m_releaseInterval = 0;
     TimePoint m_lastRelease {};
-    Duration m_shortTargets[2] = {Duration::max(), Duration::max()};
-    TimePoint m_shortWindowEnd {};
-    std::uint64_t m_prefillInFlight = 0; ///< Claims without a decode server yet.
+    /** Shortest first-token targets in the current and the previous window. */
+    Duration m_shortestTargets[2] = {Duration::max(), Duration::max()};
+    TimePoint m_targetWindowEnd {};
+    std::uint64_t m_prefillInFlight = 0; ///< Granted claims without a decode server.
 };
 
 } // namespace indigoway
--- a/src/placement/cellservers.cpp
+++ b/src/placement/cellservers.cpp
@@ -8,34 +8,33 @@
 
 namespace {
 
-/** Assumed before a pool's first observation. */
+/** Defaults before the first observation in the cell. */
 constexpr double AssumedPrefillSpeed = 10'000;
 constexpr double AssumedTokenTime = 0.02;
-constexpr std::size_t MostPrefixes = 200'000;
+constexpr std::size_t MaxPrefixes = 200'000;
 constexpr std::uint32_t FirstPrefixTokens = 256;
-/** A token time above the target by this factor makes a server slow. */
+/** Ratio of token time to target above which a server counts as slow. */
 constexpr double SlowFactor = 1.0;
-constexpr double StragglerWeight = 2;
+constexpr double SlownessWeight = 2;
 
 bool contains(const std::vector<ServerName> &names, const ServerName &name)
 {
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/** Which of an even number's two middle values counts: always the faster server's. In a pool of two
- * a slow server's own figure would else be what is expected of it, and it would never be tried
- * again. */
-enum class Middle {
-    Smaller,
-    Larger,
+/** Chooses between the two middle values of an even number of samples. The faster server's value is
+ * used, so that a slow server in a pool of two is not compared with itself. */
+enum class MedianTie {
+    Lower,
+    Upper,
 };
 
-double medianOf(std::vector<double> values, Middle which, double otherwise)
+double medianOf(std::vector<double> values, MedianTie tie, double fallback)
 {
     if (values.empty()) {
-        return otherwise;
+        return fallback;
     }
-    const std::size_t index = (values.size() - (which == Middle::Smaller ? 1 : 0)) / 2;
+    const std::size_t index = (values.size() - (tie == MedianTie::Lower ? 1 : 0)) / 2;
     const auto middle = values.begin() + static_cast<std::ptrdiff_t>(index);
     std::nth_element(values.begin(), middle, values.end());
     return *middle;
@@ -46,7 +45,7 @@
 CellServers::CellServers(Cell cell)
     : m_cell(std::move(cell))
 {
-    refreshMedians();
+    updateMedians();
 }
 
 const ServerLoad *CellServers::find(const ServerName &server) const
@@ -62,10 +61,10 @@
                        [](const auto &entry) { return entry.second.hasReported(); });
 }
 
-void CellServers::forgetRemoved(const Deployment &deployment)
+void CellServers::removeUndeclared(const Deployment &deployment)
 {
     std::erase_if(m_servers, [&](const auto &entry) {
-        return !deployment.server(entry.first) && entry.second.assigned() == 0;
+        return !deployment.server(entry.first) && entry.second.assignedClaims() == 0;
     });
 }
 
@@ -85,8 +84,8 @@
     return it == m_servers.end() || it->second.isUsable(turn.now);
 }
 
-std::vector<ServerName> CellServers::usable(const Turn &turn, Role role,
-                                            const std::vector<ServerName> &avoid) const
+std::vector<ServerName> CellServers::usableServers(const Turn &turn, Role role,
+                                                   const std::vector<ServerName> &avoid) const
 {
     std::vector<ServerName> found;
     for (const ServerName &name : turn.cells.servers(m_cell, role)) {
@@ -95,13 +94,13 @@
         }
     }
     if (found.empty() && !avoid.empty()) {
-        // Servers that failed this request before are better than none: they may be well again.
-        return usable(turn, role, {});
+        // Falls back to servers that failed this request before; they may have recovered.
+        return usableServers(turn, role, {});
     }
     return found;
 }
 
-void CellServers::refreshMedians()
+void CellServers::updateMedians()
 {
     std::vector<double> speeds;
     std::vector<double> times;
@@ -113,12 +112,12 @@
             times.push_back(load.tokenTime());
         }
     }
-    m_medianPrefillSpeed = medianOf(std::move(speeds), Middle::Larger, AssumedPrefillSpeed);
-    m_medianTokenTime = medianOf(std::move(times), Middle::Smaller, AssumedTokenTime);
+    m_medianPrefillSpeed = medianOf(std::move(speeds), MedianTie::Upper, AssumedPrefillSpeed);
+    m_medianTokenTime = medianOf(std::move(times), MedianTie::Lower, AssumedTokenTime);
 }
 
-double CellServers::prefillSeconds(const Turn &turn, const ServerName &server,
-                                   std::uint32_t tokens) const
+double CellServers::expectedPrefillSeconds(const Turn &turn, const ServerName &server,
+                                           std::uint32_t tokens) const
 {
     const double median = m_medianPrefillSpeed;
     const auto it = m_servers.find(server);
@@ -150,16 +149,17 @@
     const ServerLoad &load = it->second;
     std::uint32_t slots = server.slots;
     const Target *declared = target(turn);
-    const double most = std::chrono::duration<double>(declared->betweenTokens).count() * SlowFactor;
-    if (declared->isService || load.tokenTime() <= most) {
-        return load.used() < slots ? slots - load.used() : 0;
+    const double maxTokenTime =
+        std::chrono::duration<double>(declared->betweenTokens).count() * SlowFactor;
+    if (declared->isService || load.tokenTime() <= maxTokenTime) {
+        return load.usedSlots() < slots ? slots - load.usedSlots() : 0;
     }
-    // Seen slow: nothing while that is fresh, then one request that tells how it is now.
-    slots = expectedTokenTime(turn, server.name) > most ? 0 : 1;
-    return load.used() < slots ? slots - load.used() : 0;
+    // A slow server gets no requests until the observation has aged, then one trial request.
+    slots = expectedTokenTime(turn, server.name) > maxTokenTime ? 0 : 1;
+    return load.usedSlots() < slots ? slots - load.usedSlots() : 0;
 }
 
-std::int64_t CellServers::freeInCell(const Turn &turn, Role role) const
+std::int64_t CellServers::totalFreeSlots(const Turn &turn, Role role) const
 {
     std::int64_t free = 0;
     for (const ServerName &name : turn.cells.servers(m_cell, role)) {
@@ -184,8 +184,8 @@
     std::uint32_t cached = 0;
     std::uint32_t length = FirstPrefixTokens;
     for (const std::uint64_t hash : claim.prefixHashes) {
-        const auto it = m_prefixes.find(hash);
-        if (it != m_prefixes.end() && it->second.contains(server)) {
+        const auto it = m_serversByPrefix.find(hash);
+        if (it != m_serversByPrefix.end() && it->second.contains(server)) {
             cached = length;
         }
         length *= 2;
@@ -193,13 +193,13 @@
     return std::min(cached, claim.promptTokens);
 }
 
-std::uint32_t CellServers::mostCachedTokens(const ClaimCapacity &claim) const
+std::uint32_t CellServers::maxCachedTokens(const ClaimCapacity &claim) const
 {
     std::uint32_t cached = 0;
     std::uint32_t length = FirstPrefixTokens;
     for (const std::uint64_t hash : claim.prefixHashes) {
-        const auto it = m_prefixes.find(hash);
-        if (it != m_prefixes.end() && !it->second.empty()) {
+        const auto it = m_serversByPrefix.find(hash);
+        if (it != m_serversByPrefix.end() && !it->second.empty()) {
             cached = length;
         }
         length *= 2;
@@ -207,36 +207,36 @@
     return std::min(cached, claim.promptTokens);
 }
 
-void CellServers::rememberPrefix(const ServerName &server, const ClaimCapacity &claim)
+void CellServers::recordPrefix(const ServerName &server, const ClaimCapacity &claim)
 {
-    if (m_prefixes.size() > MostPrefixes) {
-        m_prefixes.clear();
+    if (m_serversByPrefix.size() > MaxPrefixes) {
+        m_serversByPrefix.clear();
     }
     for (const std::uint64_t hash : claim.prefixHashes) {
-        m_prefixes[hash].insert(server);
+        m_serversByPrefix[hash].insert(server);
     }
 }
 
 std::optional<ServerName> CellServers::chooseDecode(const Turn &turn,
                                                     const std::vector<ServerName> &avoid) const
 {
-    const std::vector<ServerName> servers = usable(turn, Role::Decode, avoid);
+    const std::vector<ServerName> servers = usableServers(turn, Role::Decode, avoid);
     const double median = m_medianTokenTime;
     std::optional<ServerName> best;
     double bestScore = 0;
     for (const ServerName &name : servers) {
         const Server &server = *turn.deployment.server(name);
         const auto it = m_servers.find(name);
-        const std::uint32_t used = it == m_servers.end() ? 0 : it->second.used();
+        const std::uint32_t used = it == m_servers.end() ? 0 : it->second.usedSlots();
         const Duration linkWait = it == m_servers.end()
             ? Duration::zero()
             : std::max(Duration::zero(),
                        std::chrono::duration_cast<Duration>(it->second.linkFreeAt() - turn.now));
         const double slowness = std::max(0.0, expectedTokenTime(turn, name) / median - 1);
-        // A full server is the last resort: its engine would queue what it cannot hold.
+        // A full server is chosen last, since its engine would queue the request.
         const double full = freeSlots(turn, server) > 0 ? 0 : 100;
         const double score = full + static_cast<double>(used) / server.slots
-            + slowness * StragglerWeight + std::chrono::duration<double>(linkWait).count() * 10;
+            + slowness * SlownessWeight + std::chrono::duration<double>(linkWait).count() * 10;
         if (!best || score < bestScore) {
             best = name;
             bestScore = score;
@@ -250,13 +250,13 @@
 {
     std::optional<ServerName> best;
     double bestScore = 0;
-    for (const ServerName &name : usable(turn, Role::Service, claim.avoid)) {
+    for (const ServerName &name : usableServers(turn, Role::Service, claim.avoid)) {
         const Server &server = *turn.deployment.server(name);
         if (freeSlots(turn, server) == 0) {
             continue;
         }
         const auto it = m_servers.find(name);
-        const double used = it == m_servers.end() ? 0 : it->second.used();
+        const double used = it == m_servers.end() ? 0 : it->second.usedSlots();
         const double slowness = it == m_servers.end() ? 0 : it->second.tokenTime();
         const double score = (used + 1) / server.slots * (1 + slowness);
         if (!best || score < bestScore) {
@@ -267,14 +267,14 @@
     return best;
 }
 
-void CellServers::cacheEvents(const CacheEventsArrived &events)
+void CellServers::applyCacheEvents(const CacheEventsArrived &events)
 {
     for (const std::uint64_t hash : events.stored) {
-        m_prefixes[hash].insert(events.server);
+        m_serversByPrefix[hash].insert(events.server);
     }
     for (const std::uint64_t hash : events.removed) {
-        const auto it = m_prefixes.find(hash);
-        if (it != m_prefixes.end()) {
+        const auto it = m_serversByPrefix.find(hash);
+        if (it != m_serversByPrefix.end()) {
             it->second.erase(events.server);
         }
     }
--- a/src/placement/localplacement.cpp
+++ b/src/placement/localplacement.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Alpha of the paper's latency-aware policy (section 03). */
-constexpr double Smoothing = 0.15;
-constexpr Duration RestAfterFailure = std::chrono::seconds(1);
+/** Weight of a new sample in the moving average of the service time. */
+constexpr double LatencySmoothing = 0.15;
+constexpr Duration FailureBackoff = std::chrono::seconds(1);
 
 } // namespace
 
@@ -28,58 +28,58 @@
 std::optional<ServerName>
 LocalPlacement::choose(Turn &turn, const std::vector<ServerName> &candidates, std::uint32_t quota)
 {
-    std::vector<ServerName> fit;
+    std::vector<ServerName> eligible;
     for (const ServerName &server : candidates) {
-        const bool isFull = quota > 0 && own(server) >= quota;
-        if (!isFull && !isResting(turn.now, server)) {
-            fit.push_back(server);
+        const bool isFull = quota > 0 && ownRequests(server) >= quota;
+        if (!isFull && !isBackingOff(turn.now, server)) {
+            eligible.push_back(server);
         }
     }
-    if (fit.empty()) {
+    if (eligible.empty()) {
         return std::nullopt;
     }
-    return (this->*m_chooser)(turn, fit);
+    return (this->*m_chooser)(turn, eligible);
 }
 
-void LocalPlacement::started(const ServerName &server)
+void LocalPlacement::recordStart(const ServerName &server)
 {
-    ++m_loads[server].own;
+    ++m_loads[server].ownRequests;
 }
 
-void LocalPlacement::ended(TimePoint now, const ServerName &server, Duration elapsed, bool isOk)
+void LocalPlacement::recordEnd(TimePoint now, const ServerName &server, Duration elapsed, bool isOk)
 {
     Load &load = m_loads[server];
-    load.own -= std::min<std::uint32_t>(load.own, 1);
+    load.ownRequests -= std::min<std::uint32_t>(load.ownRequests, 1);
     if (!isOk) {
-        load.restsUntil = now + RestAfterFailure;
+        load.backoffUntil = now + FailureBackoff;
         return;
     }
     const double seconds = std::chrono::duration<double>(elapsed).count();
     load.serviceSeconds = load.serviceSeconds == 0
         ? seconds
-        : load.serviceSeconds + Smoothing * (seconds - load.serviceSeconds);
+        : load.serviceSeconds + LatencySmoothing * (seconds - load.serviceSeconds);
 }
 
-void LocalPlacement::report(const ReportArrived &report)
+void LocalPlacement::applyReport(const ReportArrived &report)
 {
     if (!report.isOk) {
         return;
     }
     Load &load = m_loads[report.server];
-    load.reported = report.running + report.waiting;
-    load.ownAtReport = load.own;
+    load.reportedRequests = report.running + report.waiting;
+    load.ownAtReport = load.ownRequests;
 }
 
-std::uint32_t LocalPlacement::own(const ServerName &server) const
+std::uint32_t LocalPlacement::ownRequests(const ServerName &server) const
 {
     const auto it = m_loads.find(server);
-    return it == m_loads.end() ? 0 : it->second.own;
+    return it == m_loads.end() ? 0 : it->second.ownRequests;
 }
 
-bool LocalPlacement::isResting(TimePoint now, const ServerName &server) const
+bool LocalPlacement::isBackingOff(TimePoint now, const ServerName &server) const
 {
     const auto it = m_loads.find(server);
-    return it != m_loads.end() && now < it->second.restsUntil;
+    return it != m_loads.end() && now < it->second.backoffUntil;
 }
 
 std::uint32_t LocalPlacement::outstanding(const ServerName &server) const
@@ -88,15 +88,16 @@
     if (it == m_loads.end()) {
         return 0;
     }
-    // The report, corrected for what this node sent since: the report lags.
+    // Adds the requests that this node has sent since the report.
     const Load &load = it->second;
-    const std::uint32_t sinceReport = load.own > load.ownAtReport ? load.own - load.ownAtReport : 0;
-    return std::max(load.own, load.reported + sinceReport);
+    const std::uint32_t sinceReport =
+        load.ownRequests > load.ownAtReport ? load.ownRequests - load.ownAtReport : 0;
+    return std::max(load.ownRequests, load.reportedRequests + sinceReport);
 }
 
 ServerName LocalPlacement::roundRobin(Turn & /*turn*/, const std::vector<ServerName> &candidates)
 {
-    return candidates[m_cursor++ % candidates.size()];
+    return candidates[m_nextIndex++ % candidates.size()];
 }
 
 ServerName LocalPlacement::leastOutstanding(Turn & /*turn*/,
--- a/src/placement/localplacement.h
+++ b/src/placement/localplacement.h
@@ -13,17 +13,17 @@
 
 class Turn;
 
-/** How a node that decides alone chooses among a pool's servers. */
+/** Selects the load-balancing policy of LocalPlacement. */
 enum class LocalPolicy {
     RoundRobin,
-    LeastOutstanding, ///< Least of own requests and the latest report.
-    EwmaLatency,      ///< Least of (outstanding + 1) times the smoothed service time.
-    PowerOfTwo,       ///< The less loaded of two drawn at random (Mitzenmacher, 2001).
+    LeastOutstanding, ///< Fewest outstanding requests, by own count and latest report.
+    EwmaLatency,      ///< Smallest (outstanding + 1) times smoothed service time.
+    PowerOfTwo,       ///< Less loaded of two random choices (Mitzenmacher, 2001).
 };
 
 /**
- * Placement by what one node knows itself. It serves while a cell's scheduler cannot be reached,
- * and as the baselines of the measurements.
+ * Chooses servers by the node's own requests and load reports. Used while a cell's scheduler cannot
+ * be reached, and as the baseline policies of the benchmarks.
  */
 class LocalPlacement
 {
@@ -31,26 +31,28 @@
     explicit LocalPlacement(LocalPolicy policy = LocalPolicy::PowerOfTwo);
 
     /**
-     * Chooses among @p candidates; nothing if there is none. With @p quota above zero, servers
-     * on which this node already has that many requests are left out.
+     * Chooses one of @p candidates, without those that are backing off.
+     *
+     * @param quota largest number of this node's requests per server; 0 means no limit
+     * @return nothing if no candidate is left
      */
     std::optional<ServerName> choose(Turn &turn, const std::vector<ServerName> &candidates,
                                      std::uint32_t quota);
-    void started(const ServerName &server);
-    void ended(TimePoint now, const ServerName &server, Duration elapsed, bool isOk);
-    void report(const ReportArrived &report);
-    std::uint32_t own(const ServerName &server) const;
-    /** Whether @p server failed a moment ago. */
-    bool isResting(TimePoint now, const ServerName &server) const;
+    void recordStart(const ServerName &server);
+    void recordEnd(TimePoint now, const ServerName &server, Duration elapsed, bool isOk);
+    void applyReport(const ReportArrived &report);
+    std::uint32_t ownRequests(const ServerName &server) const;
+    /** Returns whether @p server failed recently and gets no requests until its backoff ends. */
+    bool isBackingOff(TimePoint now, const ServerName &server) const;
 
 private:
     struct Load
     {
-        std::uint32_t own = 0;
-        std::uint32_t reported = 0;
+        std::uint32_t ownRequests = 0;
+        std::uint32_t reportedRequests = 0;
         std::uint32_t ownAtReport = 0;
         double serviceSeconds = 0;
-        TimePoint restsUntil {};
+        TimePoint backoffUntil {};
     };
     using Chooser = ServerName (LocalPlacement::*)(Turn &, const std::vector<ServerName> &);
 
@@ -62,7 +64,7 @@
 
     Chooser m_chooser;
     std::map<ServerName, Load> m_loads;
-    std::uint64_t m_cursor = 0;
+    std::uint64_t m_nextIndex = 0;
 };
 
 } // namespace indigoway
--- a/src/placement/scheduler.cpp
+++ b/src/placement/scheduler.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Duration ReportInterval = std::chrono::milliseconds(500);
-/** One report in so many also lists the requests held; see Reclaimer. */
+/** Every n-th report also lists the requests that the server holds; see Reclaimer. */
 constexpr std::uint64_t RoundsPerRequestList = 4;
 constexpr Duration ClaimCheckInterval = std::chrono::seconds(2);
-/** Claims this old are asked about: their release may have been lost. A prefill is over sooner
- * than a decode, and one that is not over keeps its server from the next. */
+/** Ages from which a claim's owner is asked whether it still holds the claim, since the release may
+ * have been lost. A prefill is checked earlier, as it blocks its server. */
 constexpr Duration PrefillClaimAge = std::chrono::seconds(2);
 constexpr Duration ServingClaimAge = std::chrono::seconds(10);
 constexpr Duration CheckTimeout = std::chrono::seconds(1);
@@ -35,23 +35,24 @@
             next.insert(std::move(node));
             continue;
         }
-        m_former.erase(cell);
+        m_handedOver.erase(cell);
         next.emplace(cell, CellScheduler(cell, turn));
-        turn.log("looks after " + cell.target.text() + "/" + std::to_string(cell.number));
+        turn.log("scheduling cell " + cell.target.text() + "/" + std::to_string(cell.number));
     }
     for (auto &[cell, scheduler] : m_cells) {
-        scheduler.handOver(turn);
-        turn.log("no longer looks after " + cell.target.text() + "/" + std::to_string(cell.number));
-        m_former.insert_or_assign(cell, std::move(scheduler));
+        scheduler.refuseWaiting(turn);
+        turn.log("stopped scheduling cell " + cell.target.text() + "/"
+                 + std::to_string(cell.number));
+        m_handedOver.insert_or_assign(cell, std::move(scheduler));
     }
     m_cells = std::move(next);
     for (auto &[cell, scheduler] : m_cells) {
-        scheduler.configurationChanged(turn);
-        scheduler.dropDeadOwners(turn);
+        scheduler.handleConfigurationChanged(turn);
+        scheduler.reclaimFromDeadOwners(turn);
     }
-    if (!m_timers.contains(Timer::Reports)) {
-        m_timers.set(Timer::Reports, turn.now);
-        m_timers.set(Timer::ClaimCheck, turn.now + ClaimCheckInterval);
+    if (!m_timers.contains(Timer::FetchReports)) {
+        m_timers.set(Timer::FetchReports, turn.now);
+        m_timers.set(Timer::CheckClaims, turn.now + ClaimCheckInterval);
     }
 }
 
@@ -62,27 +63,27 @@
         turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
         return;
     }
-    it->second.claim(turn, number, claim);
+    it->second.handleClaim(turn, number, claim);
 }
 
 void Scheduler::handlePrefillEnded(Turn &turn, PeerRequestNumber number, const PrefillEnded &ended)
 {
-    CellScheduler *cell = cellWith(ended.claim);
+    CellScheduler *cell = cellOfClaim(ended.claim);
     if (!cell) {
         turn.reply(number, NotGranted {NotGranted::Why::UnknownClaim, {}});
         return;
     }
-    cell->prefillEnded(turn, number, ended);
+    cell->handlePrefillEnded(turn, number, ended);
 }
 
 void Scheduler::handleRelease(Turn &turn, PeerRequestNumber number, const ReleaseClaim &release)
 {
-    if (CellScheduler *cell = cellWith(release.claim)) {
-        cell->release(turn, number, release);
+    if (CellScheduler *cell = cellOfClaim(release.claim)) {
+        cell->handleRelease(turn, number, release);
         return;
     }
     const Cell cell {release.target, release.cell};
-    for (auto *cells : {&m_cells, &m_former}) {
+    for (auto *cells : {&m_cells, &m_handedOver}) {
         if (const auto it = cells->find(cell); it != cells->end()) {
             it->second.withdraw(turn, release.identity);
         }
@@ -97,20 +98,20 @@
         turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
         return;
     }
-    it->second.adopt(turn, number, turn.numbers.next<ClaimNumber>(), adopt);
+    it->second.handleAdopt(turn, number, turn.numbers.next<ClaimNumber>(), adopt);
 }
 
 void Scheduler::handleReport(Turn &turn, const ReportArrived &report)
 {
     if (CellScheduler *cell = cellOfServer(turn, report.server)) {
-        cell->report(turn, report);
+        cell->handleReport(turn, report);
     }
 }
 
 void Scheduler::handleCacheEvents(Turn &turn, const CacheEventsArrived &events)
 {
     if (CellScheduler *cell = cellOfServer(turn, events.server)) {
-        cell->cacheEvents(events);
+        cell->handleCacheEvents(events);
     }
 }
 
@@ -123,24 +124,25 @@
     const ClaimCheck check = std::move(it->second);
     m_checks.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *mine = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
+    const auto *owned = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
     const auto cell = m_cells.find(check.cell);
-    if (!mine || cell == m_cells.end()) {
+    if (!owned || cell == m_cells.end()) {
         return true;
     }
     for (const auto &[claim, name] : check.claims) {
-        if (std::find(mine->requests.begin(), mine->requests.end(), name) == mine->requests.end()) {
-            cell->second.releaseLost(turn, claim);
+        if (std::find(owned->requests.begin(), owned->requests.end(), name)
+            == owned->requests.end()) {
+            cell->second.reclaim(turn, claim);
         }
     }
-    cell->second.pump(turn);
+    cell->second.processQueue(turn);
     return true;
 }
 
 void Scheduler::runDue(Turn &turn)
 {
     for (const Timer timer : m_timers.takeDue(turn.now)) {
-        if (timer == Timer::Reports) {
+        if (timer == Timer::FetchReports) {
             m_timers.set(timer, turn.now + ReportInterval);
             fetchReports(turn);
         } else {
@@ -151,7 +153,7 @@
     for (auto &[cell, scheduler] : m_cells) {
         const auto next = scheduler.nextDeadline();
         if (next && *next <= turn.now) {
-            scheduler.pump(turn);
+            scheduler.processQueue(turn);
         }
     }
 }
@@ -179,8 +181,8 @@
     std::vector<ServerName> found;
     for (const auto &[cell, scheduler] : m_cells) {
         for (const Role role : {Role::Prefill, Role::Decode, Role::Service}) {
-            const std::vector<ServerName> &some = map.servers(cell, role);
-            found.insert(found.end(), some.begin(), some.end());
+            const std::vector<ServerName> &part = map.servers(cell, role);
+            found.insert(found.end(), part.begin(), part.end());
         }
     }
     return found;
@@ -190,8 +192,8 @@
 {
     std::vector<GrantView> views;
     for (const auto &[cell, scheduler] : m_cells) {
-        const auto some = scheduler.grants(now);
-        views.insert(views.end(), some.begin(), some.end());
+        const auto part = scheduler.grants(now);
+        views.insert(views.end(), part.begin(), part.end());
     }
     return views;
 }
@@ -200,16 +202,16 @@
 {
     std::size_t count = 0;
     for (const auto &[cell, scheduler] : m_cells) {
-        count += scheduler.waiting();
+        count += scheduler.waitingCount();
     }
     return count;
 }
 
-CellScheduler *Scheduler::cellWith(ClaimNumber claim)
+CellScheduler *Scheduler::cellOfClaim(ClaimNumber claim)
 {
-    for (auto *cells : {&m_cells, &m_former}) {
+    for (auto *cells : {&m_cells, &m_handedOver}) {
         for (auto &[cell, scheduler] : *cells) {
-            if (scheduler.holds(claim)) {
+            if (scheduler.hasGrant(claim)) {
                 return &scheduler;
             }
         }
@@ -237,7 +239,7 @@
     for (auto &[cell, scheduler] : m_cells) {
         std::map<NodeLife, ClaimCheck> byOwner;
         for (auto &[claim, name] :
-             scheduler.olderThan(turn.now, PrefillClaimAge, ServingClaimAge)) {
+             scheduler.claimsOlderThan(turn.now, PrefillClaimAge, ServingClaimAge)) {
             ClaimCheck &check = byOwner[scheduler.ownerOfClaim(claim)];
             check.cell = cell;
             check.claims.emplace_back(claim, name);
--- a/src/placement/scheduler.h
+++ b/src/placement/scheduler.h
@@ -12,13 +12,13 @@
 namespace indigoway {
 
 /**
- * The cells that this node looks after. Which ones they are follows from the member view alone;
- * nothing is agreed on, see CellScheduler for why that is enough.
+ * Keeps the cells that this node schedules. The assignment follows from the local member view
+ * without agreement between nodes; CellScheduler tolerates two schedulers for a cell.
  */
 class Scheduler
 {
 public:
-    /** Takes up and hands over cells after a change of members or configuration. */
+    /** Starts and stops scheduling cells after a change of members or configuration. */
     void reassign(Turn &turn);
 
     void handleClaim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim);
@@ -27,22 +27,22 @@
     void handleAdopt(Turn &turn, PeerRequestNumber number, const AdoptClaim &adopt);
     void handleReport(Turn &turn, const ReportArrived &report);
     void handleCacheEvents(Turn &turn, const CacheEventsArrived &events);
-    /** Returns whether the call was one of this subsystem's. */
+    /** Handles the answer to a claim check. @return whether @p call was made by this class */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const;
 
-    /** Cells looked after now. */
+    /** Returns the cells that this node schedules. */
     std::vector<Cell> cells() const;
-    /** Backend servers whose reports this node fetches. */
+    /** Returns the backend servers whose reports this node fetches. */
     std::vector<ServerName> servers(const CellMap &map) const;
     std::vector<GrantView> grants(TimePoint now) const;
     std::size_t waiting() const;
 
 private:
     enum class Timer {
-        Reports,
-        ClaimCheck,
+        FetchReports,
+        CheckClaims,
     };
     struct ClaimCheck
     {
@@ -50,14 +50,14 @@
         std::vector<std::pair<ClaimNumber, EngineRequestName>> claims;
     };
 
-    CellScheduler *cellWith(ClaimNumber claim);
+    CellScheduler *cellOfClaim(ClaimNumber claim);
     CellScheduler *cellOfServer(const Turn &turn, const ServerName &server);
     void fetchReports(Turn &turn);
     void checkClaims(Turn &turn);
 
     std::map<Cell, CellScheduler> m_cells;
-    /** Handed over, but with claims not yet released. */
-    std::map<Cell, CellScheduler> m_former;
+    /** Cells that another node now schedules, kept until their claims are released here. */
+    std::map<Cell, CellScheduler> m_handedOver;
     std::map<PeerCallNumber, ClaimCheck> m_checks;
     Deadlines<Timer> m_timers;
     std::uint64_t m_reportRounds = 0;
--- a/src/placement/serverload.cpp
+++ b/src/placement/serverload.cpp
@@ -7,15 +7,14 @@
 
 namespace {
 
-/** Smoothing as in the paper's EWMA (section 03), with its alpha of 0.15 doubled: a straggler
- * then shows after some four completions. docs/MEASUREMENTS.md has the trial. */
+/** Weight of a new sample in the moving averages. A slow server shows after about four samples. */
 constexpr double Smoothing = 0.3;
 constexpr std::chrono::duration<double> ConfidenceDecay = std::chrono::seconds(10);
-constexpr Duration FirstRest = std::chrono::milliseconds(500);
-constexpr int MostDoublings = 5;
-/** Reports that must all show an excess: a single one is out of step with what was assigned. */
-constexpr std::size_t ReportsToBelieve = 3;
-constexpr int MostMissedReports = 2;
+constexpr Duration InitialBackoff = std::chrono::milliseconds(500);
+constexpr int MaxBackoffDoublings = 5;
+/** Consecutive reports that must show an excess, since a single one may lag the assignments. */
+constexpr std::size_t ReportsToConfirmExcess = 3;
+constexpr int MaxMissedReports = 2;
 
 double smoothed(double before, double observed)
 {
@@ -45,25 +44,25 @@
 void ServerLoad::adopt(ClaimNumber claim)
 {
     m_claims.insert(claim);
-    m_foreign -= std::min<std::uint32_t>(m_foreign, 1);
+    m_externalRequests -= std::min<std::uint32_t>(m_externalRequests, 1);
 }
 
-void ServerLoad::report(TimePoint /*now*/, std::uint32_t running)
+void ServerLoad::applyReport(TimePoint /*now*/, std::uint32_t running)
 {
-    m_excess.push_back(running > assigned() ? running - assigned() : 0);
-    if (m_excess.size() > ReportsToBelieve) {
-        m_excess.pop_front();
+    m_recentExcess.push_back(running > assignedClaims() ? running - assignedClaims() : 0);
+    if (m_recentExcess.size() > ReportsToConfirmExcess) {
+        m_recentExcess.pop_front();
     }
-    // The first report is believed at once: a new scheduler knows nothing of earlier grants, and
-    // counting their slots as free would start prefills for which no slot will be there.
-    if (!m_hasReported || m_excess.size() == ReportsToBelieve) {
-        m_foreign = *std::min_element(m_excess.begin(), m_excess.end());
+    // The first report counts at once: a new scheduler has no record of earlier grants and would
+    // otherwise take their slots for free.
+    if (!m_hasReported || m_recentExcess.size() == ReportsToConfirmExcess) {
+        m_externalRequests = *std::min_element(m_recentExcess.begin(), m_recentExcess.end());
     }
     m_hasReported = true;
     m_missedReports = 0;
 }
 
-void ServerLoad::reportFailed()
+void ServerLoad::recordMissedReport()
 {
     ++m_missedReports;
 }
@@ -91,23 +90,23 @@
     return std::exp(-std::chrono::duration<double>(now - m_observedAt) / ConfidenceDecay);
 }
 
-void ServerLoad::failed(TimePoint now)
+void ServerLoad::recordFailure(TimePoint now)
 {
-    m_restsUntil = now + FirstRest * (1 << std::min(m_failures, MostDoublings));
+    m_backoffUntil = now + InitialBackoff * (1 << std::min(m_failures, MaxBackoffDoublings));
     ++m_failures;
 }
 
-void ServerLoad::succeeded()
+void ServerLoad::recordSuccess()
 {
     m_failures = 0;
 }
 
 bool ServerLoad::isUsable(TimePoint now) const
 {
-    return now >= m_restsUntil && m_missedReports < MostMissedReports;
+    return now >= m_backoffUntil && m_missedReports < MaxMissedReports;
 }
 
-void ServerLoad::takeLink(TimePoint from, Duration transfer)
+void ServerLoad::reserveLink(TimePoint from, Duration transfer)
 {
     m_linkFreeAt = std::max(m_linkFreeAt, from) + transfer;
 }
--- a/src/placement/serverload.h
+++ b/src/placement/serverload.h
@@ -10,61 +10,61 @@
 namespace indigoway {
 
 /**
- * What a cell's scheduler knows of one backend server: what it assigned, what the server
- * reported (late), how fast it has been, and whether it is to be left alone for a while.
+ * Keeps a scheduler's view of one backend server: the assigned claims, the reported load, the
+ * measured speed and the backoff after failures.
  */
 class ServerLoad
 {
 public:
-    std::uint32_t assigned() const { return static_cast<std::uint32_t>(m_claims.size()); }
-    /** Slots in use: own assignments and what others, unknown here, seem to run. */
-    std::uint32_t used() const { return assigned() + m_foreign; }
-    /** Prompt tokens assigned for prefill and not yet reported done. */
+    std::uint32_t assignedClaims() const { return static_cast<std::uint32_t>(m_claims.size()); }
+    /** Returns the slots in use by assigned claims and by external requests. */
+    std::uint32_t usedSlots() const { return assignedClaims() + m_externalRequests; }
+    /** Returns the prompt tokens of the assigned prefills. */
     std::uint64_t prefillTokens() const { return m_prefillTokens; }
 
     void assign(ClaimNumber claim, std::uint32_t prefillTokens);
     void unassign(ClaimNumber claim, std::uint32_t prefillTokens);
-    /** Assigns what an earlier scheduler had granted; it is no longer foreign. */
+    /** Assigns a claim that an earlier scheduler granted and no longer counts it as external. */
     void adopt(ClaimNumber claim);
 
-    /** Takes in a report. What it counts beyond the assignments of its time is foreign. */
-    void report(TimePoint now, std::uint32_t running);
-    void reportFailed();
+    /** Updates the external requests by the excess of @p running over the assigned claims. */
+    void applyReport(TimePoint now, std::uint32_t running);
+    void recordMissedReport();
     bool hasReported() const { return m_hasReported; }
 
-    /** Prefill speed in tokens a second, smoothed; 0 before the first observation. */
+    /** Returns the smoothed prefill speed in tokens per second; 0 before the first observation. */
     double prefillSpeed() const { return m_prefillSpeed; }
     void observePrefill(TimePoint now, std::uint32_t tokens, Duration elapsed);
-    /** Time between tokens in seconds, smoothed; 0 before the first observation. */
+    /** Returns the smoothed time between tokens in seconds; 0 before the first observation. */
     double tokenTime() const { return m_tokenTime; }
     void observeDecode(TimePoint now, std::uint32_t tokens, Duration elapsed);
     /**
-     * Weight of the server's own observations against its pool's median: 1 when fresh, falling
-     * towards 0. A server once seen slow is so tried again and found well.
+     * Returns the weight of the server's own observations against the cell's median. It decays from
+     * 1 towards 0, so that a slow server is tried again.
      */
     double confidence(TimePoint now) const;
 
-    void failed(TimePoint now);
-    void succeeded();
-    /** Neither resting after failures nor silent. */
+    void recordFailure(TimePoint now);
+    void recordSuccess();
+    /** Returns whether the server is neither backing off after failures nor missing reports. */
     bool isUsable(TimePoint now) const;
 
-    /** Until when its transfer link is taken by assigned transfers. */
+    /** Returns the time at which the assigned transfers will have left the transfer link. */
     TimePoint linkFreeAt() const { return m_linkFreeAt; }
-    void takeLink(TimePoint from, Duration transfer);
+    void reserveLink(TimePoint from, Duration transfer);
 
 private:
     std::set<ClaimNumber> m_claims;
     std::uint64_t m_prefillTokens = 0;
-    std::uint32_t m_foreign = 0;
-    std::deque<std::uint32_t> m_excess; ///< Of the latest reports.
+    std::uint32_t m_externalRequests = 0;     ///< Reported beyond the assigned claims.
+    std::deque<std::uint32_t> m_recentExcess; ///< Of the latest reports, in requests.
     bool m_hasReported = false;
     int m_missedReports = 0;
     double m_prefillSpeed = 0;
     double m_tokenTime = 0;
     TimePoint m_observedAt {};
     int m_failures = 0;
-    TimePoint m_restsUntil {};
+    TimePoint m_backoffUntil {};
     TimePoint m_linkFreeAt {};
 };
 
--- a/src/requests/cancels.cpp
+++ b/src/requests/cancels.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr Duration FirstRetry = std::chrono::milliseconds(250);
-constexpr int MostDoublings = 6;
-constexpr Duration GiveUpAfter = std::chrono::minutes(10);
-/** Bounds memory when an engine stays away; the reclaimer finds what is dropped here. */
-constexpr std::size_t MostPending = 20'000;
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(250);
+constexpr int MaxRetryDoublings = 6;
+constexpr Duration CancelLifetime = std::chrono::minutes(10);
+/** Bounds memory while an engine is unreachable; the reclaimer finds the requests dropped here. */
+constexpr std::size_t MaxPending = 20'000;
 
 } // namespace
 
 void Cancels::cancel(Turn &turn, const ServerName &server, const EngineRequestName &request)
 {
     const Key key {server, request};
-    if (m_pending.contains(key) || m_pending.size() >= MostPending) {
+    if (m_pending.contains(key) || m_pending.size() >= MaxPending) {
         return;
     }
     Pending &pending = m_pending[key];
@@ -27,7 +27,7 @@
     send(turn, key, pending);
 }
 
-void Cancels::finished(Turn &turn, const CancelFinished &event)
+void Cancels::handleFinished(Turn &turn, const CancelFinished &event)
 {
     const Key key {event.server, event.request};
     if (event.isConfirmed && m_pending.erase(key) > 0) {
@@ -43,7 +43,7 @@
         if (it == m_pending.end()) {
             continue;
         }
-        if (!turn.deployment.server(key.first) || turn.now - it->second.since > GiveUpAfter) {
+        if (!turn.deployment.server(key.first) || turn.now - it->second.since > CancelLifetime) {
             m_pending.erase(it);
             continue;
         }
@@ -54,8 +54,8 @@
 void Cancels::send(Turn &turn, const Key &key, Pending &pending)
 {
     const Server *server = turn.deployment.server(key.first);
-    const Duration wait = FirstRetry * (1 << std::min(pending.tries, MostDoublings));
-    ++pending.tries;
+    const Duration wait = InitialRetryDelay * (1 << std::min(pending.attempts, MaxRetryDoublings));
+    ++pending.attempts;
     m_timers.set(key, turn.now + turn.jittered(wait));
     if (server) {
         turn.count(Counter::CancelsSent);
--- a/src/requests/cancels.h
+++ b/src/requests/cancels.h
@@ -14,15 +14,15 @@
 class Turn;
 
 /**
- * Cancels under way at engines. Each is repeated until the engine confirms it, the engine is no
- * longer declared, or a day's patience is over: a lost cancel would leave memory held for a
- * caller who is gone.
+ * Sends cancels to engines and repeats each until the engine confirms it, is no longer declared, or
+ * ten minutes have passed. A lost cancel would leave engine memory allocated for a caller that has
+ * disconnected.
  */
 class Cancels
 {
 public:
     void cancel(Turn &turn, const ServerName &server, const EngineRequestName &request);
-    void finished(Turn &turn, const CancelFinished &event);
+    void handleFinished(Turn &turn, const CancelFinished &event);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
     std::size_t pending() const { return m_pending.size(); }
@@ -32,7 +32,7 @@
     struct Pending
     {
         TimePoint since {};
-        int tries = 0;
+        int attempts = 0;
     };
 
     void send(Turn &turn, const Key &key, Pending &pending);
--- a/src/requests/capacityclaims.cpp
+++ b/src/requests/capacityclaims.cpp
@@ -7,27 +7,26 @@
 
 namespace {
 
-/** A claim may wait in the scheduler's queue; past this its scheduler is probed, since a frozen
- * one would leave the caller waiting for its whole patience. With the probe's own time limit this
- * leaves a lookup with a target of 680 ms time to be placed without the scheduler. */
-constexpr Duration DoubtAfter = std::chrono::milliseconds(150);
-constexpr Duration DoubtAgainAfter = std::chrono::seconds(1);
-/** A claim that was lost on its way would wait for its whole patience; so it is made again, which
- * the scheduler knows for the same claim. */
+/** Waiting time after which a claim's scheduler is probed, since a claim at a hung scheduler would
+ * wait until its patience expires. Short enough that a request with a first-token target of 680 ms
+ * can still be placed locally after a failed probe. */
+constexpr Duration ProbeAfter = std::chrono::milliseconds(150);
+constexpr Duration ProbeInterval = std::chrono::seconds(1);
+/** Time after which an unanswered claim is sent again; the scheduler recognises the repetition. */
 constexpr Duration FirstClaimTimeout = std::chrono::seconds(1);
-constexpr int MostClaimDoublings = 4;
-/** A scheduler that was silent is not asked for so long, unless it is heard of before. */
-constexpr Duration SilenceKept = std::chrono::seconds(1);
+constexpr int MaxClaimTimeoutDoublings = 4;
+/** Time for which no claims are sent to a scheduler that did not answer a probe. */
+constexpr Duration SilentSchedulerBackoff = std::chrono::seconds(1);
 constexpr Duration AssignTimeout = std::chrono::milliseconds(300);
 constexpr Duration AdoptTimeout = std::chrono::milliseconds(500);
 constexpr Duration ReleaseTimeout = std::chrono::seconds(1);
 constexpr Duration ReleaseRetryAfter = std::chrono::milliseconds(500);
-/** After these the scheduler finds out itself, when it asks about old claims. */
-constexpr int MostReleaseTries = 5;
+/** A release that is lost this often is found by the scheduler's claim check. */
+constexpr int MaxReleaseTries = 5;
 
 } // namespace
 
-std::optional<ClaimResult> CapacityClaims::claim(Turn &turn, const ClaimCapacity &wanted)
+std::optional<ClaimResult> CapacityClaims::requestCapacity(Turn &turn, const ClaimCapacity &wanted)
 {
     Claim &claim = m_claims[wanted.request];
     claim = {};
@@ -39,9 +38,9 @@
     return SchedulerUnreachable {wanted.request};
 }
 
-std::vector<ClaimResult> CapacityClaims::schedulerSilent(Turn &turn, const NodeName &node)
+std::vector<ClaimResult> CapacityClaims::handleSilentScheduler(Turn &turn, const NodeName &node)
 {
-    m_silentUntil[node] = turn.now + SilenceKept;
+    m_unreachableUntil[node] = turn.now + SilentSchedulerBackoff;
     std::vector<ClaimResult> results;
     for (auto it = m_claims.begin(); it != m_claims.end();) {
         if (it->second.state != State::Waiting || it->second.scheduler.node != node) {
@@ -55,17 +54,17 @@
     return results;
 }
 
-bool CapacityClaims::isAnswering(const Turn &turn, const NodeName &node) const
+bool CapacityClaims::isReachable(const Turn &turn, const NodeName &node) const
 {
     const MemberUpdate *member = turn.members.member(node);
-    const auto silent = m_silentUntil.find(node);
+    const auto silent = m_unreachableUntil.find(node);
     return member && member->state != MemberState::Suspect
-        && (silent == m_silentUntil.end() || turn.now >= silent->second);
+        && (silent == m_unreachableUntil.end() || turn.now >= silent->second);
 }
 
-std::optional<ClaimResult> CapacityClaims::prefillSucceeded(Turn &turn, RequestNumber request,
-                                                            Duration elapsed,
-                                                            const std::vector<ServerName> &avoid)
+std::optional<ClaimResult>
+CapacityClaims::reportPrefillSuccess(Turn &turn, RequestNumber request, Duration elapsed,
+                                     const std::vector<ServerName> &avoid)
 {
     const auto it = m_claims.find(request);
     if (it == m_claims.end()) {
@@ -74,7 +73,7 @@
     Claim &claim = it->second;
     PrefillEnded message {claim.number, true, elapsed, avoid};
     if (claim.state == State::Adopting) {
-        claim.afterAdoption = message;
+        claim.prefillEnded = message;
         return std::nullopt;
     }
     claim.state = State::Assigning;
@@ -83,7 +82,7 @@
     return std::nullopt;
 }
 
-void CapacityClaims::prefillFailed(Turn &turn, RequestNumber request)
+void CapacityClaims::reportPrefillFailure(Turn &turn, RequestNumber request)
 {
     const auto it = m_claims.find(request);
     if (it == m_claims.end()) {
@@ -107,9 +106,9 @@
     }
     Claim claim = it->second;
     m_claims.erase(it);
-    m_timers.clear({Timer::Doubt, request.value()});
+    m_timers.clear({Timer::ProbeScheduler, request.value()});
     m_calls.erase(claim.call);
-    ReleaseClaim message = releaseOf(claim);
+    ReleaseClaim message = releaseMessage(claim);
     message.tokens = tokens;
     message.decodeTime = decodeTime;
     message.serverFailed = serverFailed;
@@ -126,21 +125,21 @@
         if (claim == m_claims.end()) {
             return std::nullopt;
         }
-        return answered(turn, claim->second, outcome);
+        return handleClaimReply(turn, claim->second, outcome);
     }
     if (const auto it = m_releases.find(call); it != m_releases.end()) {
         Release release = std::move(it->second);
         m_releases.erase(it);
-        if (!reply && ++release.tries < MostReleaseTries) {
+        if (!reply && ++release.tries < MaxReleaseTries) {
             const std::uint64_t retry = ++m_lastRetry;
-            m_timers.set({Timer::Retry, retry}, turn.now + turn.jittered(ReleaseRetryAfter));
+            m_timers.set({Timer::RetryRelease, retry}, turn.now + turn.jittered(ReleaseRetryAfter));
             m_releasesToRetry.emplace(retry, std::move(release));
         }
     }
     return std::nullopt;
 }
 
-std::vector<ClaimResult> CapacityClaims::membersChanged(Turn &turn)
+std::vector<ClaimResult> CapacityClaims::handleMembersChanged(Turn &turn)
 {
     std::vector<ClaimResult> results;
     std::vector<RequestNumber> unreachable;
@@ -148,13 +147,13 @@
         const NodeLife next = schedulerFor(turn, claim.wanted);
         const MemberUpdate *member = turn.members.member(claim.scheduler.node);
         const bool isGone = !turn.members.mayLive(claim.scheduler);
-        const bool isDoubtful = isGone || (member && member->state == MemberState::Suspect);
+        const bool isUnreachable = isGone || (member && member->state == MemberState::Suspect);
         if (claim.state == State::Waiting) {
-            if (next == claim.scheduler && isDoubtful) {
+            if (next == claim.scheduler && isUnreachable) {
                 unreachable.push_back(request);
             } else if (next != claim.scheduler) {
                 withdraw(turn, claim);
-                claim.asks = 0;
+                claim.sends = 0;
                 if (!sendClaim(turn, claim)) {
                     unreachable.push_back(request);
                 }
@@ -162,7 +161,7 @@
             continue;
         }
         if (next != claim.scheduler && !next.node.isEmpty()) {
-            adoptElsewhere(turn, claim, next);
+            requestAdoption(turn, claim, next);
         }
     }
     for (const RequestNumber request : unreachable) {
@@ -176,11 +175,11 @@
 void CapacityClaims::runDue(Turn &turn)
 {
     for (const auto &[timer, number] : m_timers.takeDue(turn.now)) {
-        if (timer == Timer::Doubt) {
+        if (timer == Timer::ProbeScheduler) {
             const auto it = m_claims.find(RequestNumber(number));
             if (it != m_claims.end() && it->second.state == State::Waiting) {
-                m_doubted.insert(it->second.scheduler.node);
-                m_timers.set({Timer::Doubt, number}, turn.now + DoubtAgainAfter);
+                m_schedulersToProbe.insert(it->second.scheduler.node);
+                m_timers.set({Timer::ProbeScheduler, number}, turn.now + ProbeInterval);
             }
             continue;
         }
@@ -201,14 +200,15 @@
 {
     claim.state = State::Waiting;
     claim.scheduler = schedulerFor(turn, claim.wanted);
-    if (!isAnswering(turn, claim.scheduler.node)) {
+    if (!isReachable(turn, claim.scheduler.node)) {
         return false;
     }
-    const Duration timeout = FirstClaimTimeout * (1 << std::min(claim.asks++, MostClaimDoublings));
+    const Duration timeout =
+        FirstClaimTimeout * (1 << std::min(claim.sends++, MaxClaimTimeoutDoublings));
     claim.call = turn.ask(claim.scheduler.node, claim.wanted, timeout);
     m_calls[claim.call] = claim.wanted.request;
-    if (claim.asks == 1) {
-        m_timers.set({Timer::Doubt, claim.wanted.request.value()}, turn.now + DoubtAfter);
+    if (claim.sends == 1) {
+        m_timers.set({Timer::ProbeScheduler, claim.wanted.request.value()}, turn.now + ProbeAfter);
     }
     return true;
 }
@@ -222,13 +222,13 @@
 void CapacityClaims::withdraw(Turn &turn, const Claim &claim)
 {
     m_calls.erase(claim.call);
-    m_timers.clear({Timer::Doubt, claim.wanted.request.value()});
+    m_timers.clear({Timer::ProbeScheduler, claim.wanted.request.value()});
     if (turn.members.mayLive(claim.scheduler)) {
-        sendRelease(turn, {claim.scheduler, releaseOf(claim), 0});
+        sendRelease(turn, {claim.scheduler, releaseMessage(claim), 0});
     }
 }
 
-ReleaseClaim CapacityClaims::releaseOf(const Claim &claim) const
+ReleaseClaim CapacityClaims::releaseMessage(const Claim &claim) const
 {
     ReleaseClaim message;
     message.claim = claim.number;
@@ -238,25 +238,25 @@
     return message;
 }
 
-std::optional<ClaimResult> CapacityClaims::answered(Turn &turn, Claim &claim,
-                                                    const PeerOutcome &outcome)
+std::optional<ClaimResult> CapacityClaims::handleClaimReply(Turn &turn, Claim &claim,
+                                                            const PeerOutcome &outcome)
 {
     const auto *reply = std::get_if<PeerReply>(&outcome);
     switch (claim.state) {
     case State::Waiting:
-        return claimAnswered(turn, claim, outcome);
+        return handleWaitingReply(turn, claim, outcome);
     case State::Assigning:
-        return assignAnswered(turn, claim, reply);
+        return handleAssigningReply(turn, claim, reply);
     case State::Adopting:
-        return adoptAnswered(turn, claim, reply);
+        return handleAdoptingReply(turn, claim, reply);
     case State::Held:
         break;
     }
     return std::nullopt;
 }
 
-std::optional<ClaimResult> CapacityClaims::claimAnswered(Turn &turn, Claim &claim,
-                                                         const PeerOutcome &outcome)
+std::optional<ClaimResult> CapacityClaims::handleWaitingReply(Turn &turn, Claim &claim,
+                                                              const PeerOutcome &outcome)
 {
     const RequestNumber request = claim.wanted.request;
     const auto *reply = std::get_if<PeerReply>(&outcome);
@@ -264,7 +264,7 @@
     if (failed && failed->isTimeout && sendClaim(turn, claim)) {
         return std::nullopt;
     }
-    m_timers.clear({Timer::Doubt, request.value()});
+    m_timers.clear({Timer::ProbeScheduler, request.value()});
     if (const auto *granted = reply ? std::get_if<Granted>(reply) : nullptr) {
         claim.state = State::Held;
         claim.number = granted->claim;
@@ -279,8 +279,8 @@
     return SchedulerUnreachable {request};
 }
 
-std::optional<ClaimResult> CapacityClaims::assignAnswered(Turn &turn, Claim &claim,
-                                                          const PeerReply *reply)
+std::optional<ClaimResult> CapacityClaims::handleAssigningReply(Turn &turn, Claim &claim,
+                                                                const PeerReply *reply)
 {
     const RequestNumber request = claim.wanted.request;
     if (const auto *assigned = reply ? std::get_if<DecodeAssigned>(reply) : nullptr) {
@@ -293,16 +293,16 @@
         m_claims.erase(request);
         return ClaimRefused {request, refused->why, refused->comeBackAfter};
     }
-    // The scheduler is gone or has forgotten the claim. The prefill's result lives for less than
-    // a second: choosing alone now wastes nothing, asking around would.
-    const Release release {claim.scheduler, releaseOf(claim), 0};
+    // The scheduler is unreachable or does not know the claim. The engine keeps the prefill's
+    // result for less than a second, so the decode server is chosen locally without a retry.
+    const Release release {claim.scheduler, releaseMessage(claim), 0};
     m_claims.erase(request);
     sendRelease(turn, release);
     return SchedulerUnreachable {request};
 }
 
-std::optional<ClaimResult> CapacityClaims::adoptAnswered(Turn &turn, Claim &claim,
-                                                         const PeerReply *reply)
+std::optional<ClaimResult> CapacityClaims::handleAdoptingReply(Turn &turn, Claim &claim,
+                                                               const PeerReply *reply)
 {
     const RequestNumber request = claim.wanted.request;
     const auto *granted = reply ? std::get_if<Granted>(reply) : nullptr;
@@ -310,24 +310,24 @@
         claim.state = State::Held;
         claim.number = granted->claim;
     }
-    if (!claim.afterAdoption) {
+    if (!claim.prefillEnded) {
         if (!granted) {
             m_claims.erase(request);
         }
         return std::nullopt;
     }
-    const PrefillEnded ended = *claim.afterAdoption;
-    claim.afterAdoption.reset();
+    const PrefillEnded ended = *claim.prefillEnded;
+    claim.prefillEnded.reset();
     if (granted) {
-        return prefillSucceeded(turn, request, ended.elapsed, ended.avoid);
+        return reportPrefillSuccess(turn, request, ended.elapsed, ended.avoid);
     }
     m_claims.erase(request);
     return SchedulerUnreachable {request};
 }
 
-void CapacityClaims::adoptElsewhere(Turn &turn, Claim &claim, const NodeLife &next)
+void CapacityClaims::requestAdoption(Turn &turn, Claim &claim, const NodeLife &next)
 {
-    std::optional<PrefillEnded> ended = claim.afterAdoption;
+    std::optional<PrefillEnded> ended = claim.prefillEnded;
     if (claim.state == State::Assigning) {
         m_calls.erase(claim.call);
         ended = PrefillEnded {claim.number, true, Duration::zero(), {}};
@@ -335,7 +335,7 @@
     withdraw(turn, claim);
     claim.state = State::Adopting;
     claim.scheduler = next;
-    claim.afterAdoption = ended;
+    claim.prefillEnded = ended;
     const AdoptClaim message {claim.wanted.owner,       claim.wanted.request, claim.wanted.attempt,
                               claim.wanted.target,      claim.wanted.cell,    claim.server,
                               claim.wanted.outputTokens};
--- a/src/requests/capacityclaims.h
+++ b/src/requests/capacityclaims.h
@@ -17,14 +17,14 @@
 
 class Turn;
 
-/** The claim was granted: @p server prefills it, or serves it if it is a plain service's. */
+/** The claim is granted: @p server runs the prefill, or the whole request of a plain service. */
 struct ClaimGranted
 {
     RequestNumber request;
     ServerName server;
 };
 
-/** The prefill's result goes to @p server. */
+/** @p server is assigned to decode the prefill's result. */
 struct DecodeChosen
 {
     RequestNumber request;
@@ -34,11 +34,11 @@
 struct ClaimRefused
 {
     RequestNumber request;
-    NotGranted::Why why = NotGranted::Why::Overload;
-    Duration comeBackAfter {};
+    NotGranted::Why reason = NotGranted::Why::Overload;
+    Duration retryAfter {};
 };
 
-/** No scheduler answers; whoever asked has to decide alone. */
+/** No scheduler can be reached; the request has to be placed locally. */
 struct SchedulerUnreachable
 {
     RequestNumber request;
@@ -47,45 +47,52 @@
 using ClaimResult = std::variant<ClaimGranted, DecodeChosen, ClaimRefused, SchedulerUnreachable>;
 
 /**
- * This node's side of the claims that schedulers grant: one per request at a time. Follows a
- * cell to its next scheduler, and gives back what is granted too late to be wanted.
+ * Makes this node's capacity claims at the cells' schedulers, one per request at a time. Moves
+ * claims when a cell gets another scheduler, and releases claims that are no longer needed.
  */
 class CapacityClaims
 {
 public:
-    /** Asks for capacity; a ClaimResult follows, or is returned if no scheduler can be asked. */
-    std::optional<ClaimResult> claim(Turn &turn, const ClaimCapacity &wanted);
     /**
-     * Tells the scheduler that the prefill is done; a ClaimResult with the server follows. It is
-     * returned at once if the claim was lost with its scheduler.
+     * Requests capacity from the cell's scheduler.
+     *
+     * @return a result if no scheduler can be reached; otherwise handleAnswer() returns it later
      */
-    std::optional<ClaimResult> prefillSucceeded(Turn &turn, RequestNumber request, Duration elapsed,
-                                                const std::vector<ServerName> &avoid);
-    /** Tells the scheduler that the prefill failed, which ends the claim. */
-    void prefillFailed(Turn &turn, RequestNumber request);
-    /** Ends the claim whatever its state; nothing if there is none. */
+    std::optional<ClaimResult> requestCapacity(Turn &turn, const ClaimCapacity &wanted);
+    /**
+     * Reports a finished prefill to the scheduler and requests the decode server.
+     *
+     * @return a result if the claim was lost with its scheduler; otherwise handleAnswer() returns
+     *         it later
+     */
+    std::optional<ClaimResult> reportPrefillSuccess(Turn &turn, RequestNumber request,
+                                                    Duration elapsed,
+                                                    const std::vector<ServerName> &avoid);
+    /** Reports a failed prefill to the scheduler, which ends the claim. */
+    void reportPrefillFailure(Turn &turn, RequestNumber request);
+    /** Releases the request's claim in any state; does nothing if there is none. */
     void release(Turn &turn, RequestNumber request, std::uint32_t tokens, Duration decodeTime,
                  bool serverFailed);
 
     std::optional<ClaimResult> handleAnswer(Turn &turn, PeerCallNumber call,
                                             const PeerOutcome &outcome);
-    /** @p node let a probe go unanswered: claims that wait for it are given up for now. */
-    std::vector<ClaimResult> schedulerSilent(Turn &turn, const NodeName &node);
-    /** Moves claims whose scheduler has changed or died. */
-    std::vector<ClaimResult> membersChanged(Turn &turn);
+    /** Withdraws the claims that wait at @p node, which did not answer a probe. */
+    std::vector<ClaimResult> handleSilentScheduler(Turn &turn, const NodeName &node);
+    /** Moves the claims whose scheduler has changed or died. */
+    std::vector<ClaimResult> handleMembersChanged(Turn &turn);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
-    /** Schedulers that have let a claim wait long enough to be worth a probe. */
-    std::set<NodeName> takeDoubted() { return std::exchange(m_doubted, {}); }
+    /** Returns and clears the schedulers that should be probed because a claim waits long. */
+    std::set<NodeName> takeSchedulersToProbe() { return std::exchange(m_schedulersToProbe, {}); }
     bool isWaiting(RequestNumber request) const;
     std::size_t count() const { return m_claims.size(); }
 
 private:
     enum class State {
-        Waiting, ///< Asked for, not answered.
+        Waiting, ///< Sent and not answered.
         Held,
-        Assigning, ///< Waits for the decode server.
-        Adopting,  ///< Made known to a new scheduler, not answered.
+        Assigning, ///< Waiting for the decode server.
+        Adopting,  ///< Sent to a new scheduler and not answered.
     };
     struct Claim
     {
@@ -95,8 +102,8 @@
         PeerCallNumber call;
         ClaimNumber number;
         ServerName server;
-        std::optional<PrefillEnded> afterAdoption; ///< The prefill ended meanwhile.
-        int asks = 0;
+        std::optional<PrefillEnded> prefillEnded; ///< Sent once the claim is adopted.
+        int sends = 0;
     };
     struct Release
     {
@@ -105,23 +112,27 @@
         int tries = 0;
     };
     enum class Timer {
-        Doubt,
-        Retry,
+        ProbeScheduler,
+        RetryRelease,
     };
     using TimerKey = std::pair<Timer, std::uint64_t>;
 
-    /** False if the scheduler is known not to answer. */
+    /** Sends the claim; returns false if the scheduler is not reachable. */
     bool sendClaim(Turn &turn, Claim &claim);
-    bool isAnswering(const Turn &turn, const NodeName &node) const;
+    bool isReachable(const Turn &turn, const NodeName &node) const;
     void sendRelease(Turn &turn, Release release);
-    /** Takes back a claim that was not answered; the scheduler may or may not have granted it. */
+    /** Releases a claim at a scheduler that may or may not have granted it. */
     void withdraw(Turn &turn, const Claim &claim);
-    ReleaseClaim releaseOf(const Claim &claim) const;
-    std::optional<ClaimResult> answered(Turn &turn, Claim &claim, const PeerOutcome &outcome);
-    std::optional<ClaimResult> claimAnswered(Turn &turn, Claim &claim, const PeerOutcome &outcome);
-    std::optional<ClaimResult> assignAnswered(Turn &turn, Claim &claim, const PeerReply *reply);
-    std::optional<ClaimResult> adoptAnswered(Turn &turn, Claim &claim, const PeerReply *reply);
-    void adoptElsewhere(Turn &turn, Claim &claim, const NodeLife &next);
+    ReleaseClaim releaseMessage(const Claim &claim) const;
+    std::optional<ClaimResult> handleClaimReply(Turn &turn, Claim &claim,
+                                                const PeerOutcome &outcome);
+    std::optional<ClaimResult> handleWaitingReply(Turn &turn, Claim &claim,
+                                                  const PeerOutcome &outcome);
+    std::optional<ClaimResult> handleAssigningReply(Turn &turn, Claim &claim,
+                                                    const PeerReply *reply);
+    std::optional<ClaimResult> handleAdoptingReply(Turn &turn, Claim &claim,
+                                                   const PeerReply *reply);
+    void requestAdoption(Turn &turn, Claim &claim, const NodeLife &next);
     NodeLife schedulerFor(const Turn &turn, const ClaimCapacity &wanted) const;
 
     std::map<RequestNumber, Claim> m_claims;
@@ -130,8 +141,8 @@
     std::map<std::uint64_t, Release> m_releasesToRetry;
     std::uint64_t m_lastRetry = 0;
     Deadlines<TimerKey> m_timers;
-    std::set<NodeName> m_doubted;
-    std::map<NodeName, TimePoint> m_silentUntil;
+    std::set<NodeName> m_schedulersToProbe;
+    std::map<NodeName, TimePoint> m_unreachableUntil;
 };
 
 } // namespace indigoway
--- a/src/requests/reclaimer.cpp
+++ b/src/requests/reclaimer.cpp
@@ -11,81 +11,84 @@
 
 namespace {
 
-/** An engine's list lags: a request must be on two lists before anybody is asked. */
-constexpr int ReportsBeforeAsking = 2;
-constexpr Duration QuestionTimeout = std::chrono::seconds(1);
-/** After death; a node that was only cut off has by then been heard of again by some peer. */
-constexpr Duration Grace = std::chrono::seconds(5);
-/** The same while the store cannot tell whether the owner's lease still runs. */
-constexpr Duration GraceWithoutStore = std::chrono::seconds(30);
+/** Consecutive reports that must list a request before its owner is asked, since reports lag. */
+constexpr int ReportsBeforeQuery = 2;
+constexpr Duration QueryTimeout = std::chrono::seconds(1);
+/** Delay after the owner's death; the peers of a node that was only partitioned hear from it in
+ * this time. */
+constexpr Duration ReclaimDelay = std::chrono::seconds(5);
+/** Delay while the store cannot be asked for the owner's lease. */
+constexpr Duration ReclaimDelayWithoutStore = std::chrono::seconds(30);
 
 } // namespace
 
 void Reclaimer::report(Turn &turn, const ReportArrived &report, Requests &requests,
                        const Registry &registry)
 {
-    std::map<EngineRequestName, Sighting> &before = m_sightings[report.server];
-    std::map<EngineRequestName, Sighting> now;
-    std::map<NodeLife, std::vector<EngineRequestName>> toAsk;
+    std::map<EngineRequestName, ListedRequest> &previous = m_listedRequests[report.server];
+    std::map<EngineRequestName, ListedRequest> current;
+    std::map<NodeLife, std::vector<EngineRequestName>> toQuery;
     for (const EngineRequestName &name : report.requests) {
         const NodeLife owner = ownerOf(name);
         if (owner.node.isEmpty()) {
             continue;
         }
-        const auto seen = before.find(name);
-        Sighting sighting = seen == before.end() ? Sighting {turn.now, 0} : seen->second;
-        ++sighting.reports;
-        now[name] = sighting;
-        if (sighting.reports < ReportsBeforeAsking) {
+        const auto listed = previous.find(name);
+        ListedRequest request =
+            listed == previous.end() ? ListedRequest {turn.now, 0} : listed->second;
+        ++request.reports;
+        current[name] = request;
+        if (request.reports < ReportsBeforeQuery) {
             continue;
         }
         if (turn.members.mayLive(owner)) {
-            toAsk[owner].push_back(name);
-        } else if (isLongDead(turn, owner, registry, sighting.first)) {
+            toQuery[owner].push_back(name);
+        } else if (mayReclaim(turn, owner, registry, request.firstListed)) {
             turn.count(Counter::Reclaimed);
             requests.reclaim(turn, report.server, name);
         }
     }
-    before = std::move(now);
-    for (auto &[owner, names] : toAsk) {
-        const auto call = turn.ask(owner.node, WhichAreYours {names}, QuestionTimeout);
-        m_questions[call] = {report.server, std::move(names)};
+    previous = std::move(current);
+    for (auto &[owner, names] : toQuery) {
+        const auto call = turn.ask(owner.node, WhichAreYours {names}, QueryTimeout);
+        m_queries[call] = {report.server, std::move(names)};
     }
 }
 
 bool Reclaimer::handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome,
                              Requests &requests)
 {
-    const auto it = m_questions.find(call);
-    if (it == m_questions.end()) {
+    const auto it = m_queries.find(call);
+    if (it == m_queries.end()) {
         return false;
     }
-    const Question question = std::move(it->second);
-    m_questions.erase(it);
+    const OwnershipQuery query = std::move(it->second);
+    m_queries.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *mine = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
-    if (!mine) {
+    const auto *owned = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
+    if (!owned) {
         return true;
     }
-    for (const EngineRequestName &name : question.requests) {
-        if (std::find(mine->requests.begin(), mine->requests.end(), name) == mine->requests.end()) {
+    for (const EngineRequestName &name : query.requests) {
+        if (std::find(owned->requests.begin(), owned->requests.end(), name)
+            == owned->requests.end()) {
             turn.count(Counter::Reclaimed);
-            requests.reclaim(turn, question.server, name);
+            requests.reclaim(turn, query.server, name);
         }
     }
     return true;
 }
 
-bool Reclaimer::isLongDead(Turn &turn, const NodeLife &owner, const Registry &registry,
-                           TimePoint firstSeen) const
+bool Reclaimer::mayReclaim(Turn &turn, const NodeLife &owner, const Registry &registry,
+                           TimePoint firstListed) const
 {
-    // A life never heard of counts from when its request was first seen here.
-    const TimePoint since = turn.members.deadSince(owner).value_or(firstSeen);
+    // The delay for an unknown owner starts when its request was first listed.
+    const TimePoint since = turn.members.deadSince(owner).value_or(firstListed);
     const std::optional<bool> isListed = registry.lists(turn.now, owner);
     if (isListed) {
-        return !*isListed && turn.now - since >= Grace;
+        return !*isListed && turn.now - since >= ReclaimDelay;
     }
-    return turn.now - since >= GraceWithoutStore;
+    return turn.now - since >= ReclaimDelayWithoutStore;
 }
 
 } // namespace indigoway
--- a/src/requests/reclaimer.h
+++ b/src/requests/reclaimer.h
@@ -15,37 +15,37 @@
 class Turn;
 
 /**
- * Finds requests that an engine holds and nobody wants, from the engines' own lists, which the
- * node that schedules a server's cell fetches. A living owner is asked; only what it does not
- * know is cancelled. A dead owner's requests are cancelled after a time in which a wrong
- * suspicion would have been refuted, and not while the store still lists the owner's lease.
+ * Cancels orphaned requests on engines. Candidates come from the request lists in the engines'
+ * reports. The owner of a request is asked if it may be alive, and the request is cancelled if the
+ * owner does not know it. The requests of a dead owner are cancelled after a delay in which a false
+ * suspicion would have been refuted, and not while the store lists the owner's lease.
  */
 class Reclaimer
 {
 public:
     void report(Turn &turn, const ReportArrived &report, Requests &requests,
                 const Registry &registry);
-    /** Returns whether the call was one of this subsystem's. */
+    /** Handles the answer to an ownership query. @return whether @p call was made by this class */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome,
                       Requests &requests);
 
 private:
-    struct Sighting
+    struct ListedRequest
     {
-        TimePoint first {};
+        TimePoint firstListed {};
         int reports = 0;
     };
-    struct Question
+    struct OwnershipQuery
     {
         ServerName server;
         std::vector<EngineRequestName> requests;
     };
 
-    bool isLongDead(Turn &turn, const NodeLife &owner, const Registry &registry,
-                    TimePoint firstSeen) const;
+    bool mayReclaim(Turn &turn, const NodeLife &owner, const Registry &registry,
+                    TimePoint firstListed) const;
 
-    std::map<ServerName, std::map<EngineRequestName, Sighting>> m_sightings;
-    std::map<PeerCallNumber, Question> m_questions;
+    std::map<ServerName, std::map<EngineRequestName, ListedRequest>> m_listedRequests;
+    std::map<PeerCallNumber, OwnershipQuery> m_queries;
 };
 
 } // namespace indigoway
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr std::uint32_t MostFailures = 4;
-constexpr std::uint32_t MostResumes = 3;
-constexpr std::uint32_t MostEngineRefusals = 4;
-constexpr std::uint32_t MostStrayAnswers = 3;
-constexpr Duration RetryAfter = std::chrono::milliseconds(50);
-constexpr int MostDoublings = 4;
-constexpr Duration ResumeAfter = std::chrono::milliseconds(40);
-constexpr Duration RefusedRetryAfter = std::chrono::milliseconds(60);
-constexpr Duration AloneRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration ComeBackSoon = std::chrono::seconds(1);
-/** Progress that a call must make, or it is taken for broken. A prefill may take its tokens'
- * time, at a speed well below any engine's. */
-constexpr Duration PrefillStall = std::chrono::seconds(5);
-constexpr Duration PrefillStallPerToken = std::chrono::microseconds(500);
-constexpr Duration DecodeStall = std::chrono::seconds(4);
-constexpr Duration AloneStall = std::chrono::seconds(60);
-constexpr Duration ServiceStall = std::chrono::minutes(2);
-
-bool isCertainlyNotRun(CallOutcome outcome)
+constexpr std::uint32_t MaxFailures = 4;
+constexpr std::uint32_t MaxResumes = 3;
+constexpr std::uint32_t MaxEngineRejections = 4;
+constexpr std::uint32_t MaxWrongSchedulerReplies = 3;
+constexpr Duration RetryDelay = std::chrono::milliseconds(50);
+constexpr int MaxRetryDoublings = 4;
+constexpr Duration ResumeDelay = std::chrono::milliseconds(40);
+constexpr Duration RejectedRetryDelay = std::chrono::milliseconds(60);
+constexpr Duration PlacementRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration ShortRetryAfter = std::chrono::seconds(1);
+/** Time without progress after which a call counts as failed. The limit of a prefill grows with its
+ * tokens, at a speed well below that of any engine. */
+constexpr Duration PrefillStallLimit = std::chrono::seconds(5);
+constexpr Duration PrefillStallLimitPerToken = std::chrono::microseconds(500);
+constexpr Duration DecodeStallLimit = std::chrono::seconds(4);
+constexpr Duration LocalModeStallLimit = std::chrono::seconds(60);
+constexpr Duration ServiceStallLimit = std::chrono::minutes(2);
+
+bool isCertainlyNotExecuted(CallOutcome outcome)
 {
     return outcome == CallOutcome::NotConnected || outcome == CallOutcome::Rejected
         || outcome == CallOutcome::Invalid;
@@ -49,13 +49,13 @@
 Requests::Requests(PlacementMode mode, LocalPolicy policy, RequestLimits limits)
     : m_mode(mode)
     , m_limits(limits)
-    , m_local(policy)
+    , m_localPlacement(policy)
 { }
 
 void Requests::arrived(Turn &turn, const RequestArrived &event)
 {
     turn.count(Counter::RequestsArrived);
-    m_budget.requestArrived();
+    m_retryBudget.requestArrived();
     m_life = turn.members.life();
     const RequestNumber number = event.request;
     Request &request = m_requests[number];
@@ -75,7 +75,7 @@
         return;
     }
     if (m_requests.size() > m_limits.mostOpen) {
-        refuse(turn, number, RefusalReason::TooManyOpen, ComeBackSoon);
+        refuse(turn, number, RefusalReason::TooManyOpen, ShortRetryAfter);
         return;
     }
     request.isRepeatable = event.spec.repeatable.value_or(target->repeatable);
@@ -86,7 +86,7 @@
         ? target->maxOutputTokens
         : std::min(event.spec.maxOutputTokens, target->maxOutputTokens);
     if (request.isRepeatable) {
-        seekCapacity(turn, number, request);
+        requestCapacity(turn, number, request);
         return;
     }
     if (event.spec.idempotencyKey.empty()) {
@@ -105,7 +105,7 @@
         return;
     }
     turn.count(Counter::CallersGone);
-    letGo(turn, event.request, it->second, false);
+    releaseResources(turn, event.request, it->second, false);
     m_reservations.end(turn, event.request,
                        it->second.wasDispatched ? ReservationEnd::InDoubt
                                                 : ReservationEnd::NotExecuted);
@@ -123,29 +123,30 @@
     m_calls.erase(event.call);
     m_timers.clear({Timer::Stall, number});
     const Duration elapsed = turn.now - request->callStarted;
-    m_local.ended(turn.now, request->prefill, elapsed, event.outcome == CallOutcome::Whole);
+    m_localPlacement.recordEnd(turn.now, request->prefill, elapsed,
+                               event.outcome == CallOutcome::Whole);
     if (event.outcome != CallOutcome::Whole) {
-        prefillFailed(turn, number, event.outcome);
+        handlePrefillFailure(turn, number, event.outcome);
         return;
     }
     turn.add(Observe {Histogram::PrefillTime, elapsed});
     request->stage = RequestStage::Assigning;
-    if (!request->isAlone) {
-        const auto result = m_claims.prefillSucceeded(turn, number, elapsed, request->avoid);
+    if (!request->isPlacedLocally) {
+        const auto result = m_claims.reportPrefillSuccess(turn, number, elapsed, request->avoid);
         if (result) {
             handleResult(turn, *result);
         }
         return;
     }
     if (m_mode == PlacementMode::Alone || request->decode.isEmpty()) {
-        const auto server = chooseAlone(turn, *request, Role::Decode);
+        const auto server = chooseLocally(turn, *request, Role::Decode);
         if (!server) {
             turn.count(Counter::PrefillsWasted);
-            tryAgain(turn, number, {}, false);
+            retryOrRefuse(turn, number, {}, false);
             return;
         }
         request->decode = *server;
-        m_local.started(*server);
+        m_localPlacement.recordStart(*server);
     }
     startDecode(turn, number, *request);
 }
@@ -158,26 +159,25 @@
         turn.count(Counter::LateAnswersIgnored);
         return;
     }
-    if (event.offset + event.count <= request->received) {
+    if (event.offset + event.count <= request->attemptTokens) {
         return;
     }
-    if (event.offset != request->received) {
-        // A gap or an overlap: relaying on would give the caller an answer with a hole in it, or
-        // with a piece twice.
-        dropCall(turn, *request);
-        decodeFailed(turn, number, CallOutcome::Truncated);
+    if (event.offset != request->attemptTokens) {
+        // Tokens are missing or overlap; relaying them would corrupt the caller's answer.
+        abandonCall(turn, *request);
+        handleDecodeFailure(turn, number, CallOutcome::Truncated);
         return;
     }
-    request->progress = turn.now;
-    if (request->answered == 0) {
+    request->lastProgress = turn.now;
+    if (request->deliveredTokens == 0) {
         request->firstToken = turn.now;
         turn.add(Observe {Histogram::FirstToken, turn.now - request->arrived});
     }
-    if (request->received == 0) {
+    if (request->attemptTokens == 0) {
         request->attemptFirstToken = turn.now;
     }
-    request->received += event.count;
-    request->answered += event.count;
+    request->attemptTokens += event.count;
+    request->deliveredTokens += event.count;
     turn.add(RelayTokens {number, event.count});
 }
 
@@ -195,7 +195,7 @@
         return;
     }
     request->call = {};
-    decodeFailed(turn, number, event.outcome);
+    handleDecodeFailure(turn, number, event.outcome);
 }
 
 void Requests::serviceFinished(Turn &turn, const ServiceFinished &event)
@@ -211,7 +211,7 @@
     m_timers.clear({Timer::Stall, number});
     const Duration elapsed = turn.now - request->callStarted;
     const bool isWhole = event.outcome == CallOutcome::Whole;
-    m_local.ended(turn.now, request->decode, elapsed, isWhole);
+    m_localPlacement.recordEnd(turn.now, request->decode, elapsed, isWhole);
     if (isWhole) {
         request->attemptFirstToken = request->callStarted;
         finish(turn, number);
@@ -219,12 +219,12 @@
     }
     const ServerName failed = std::exchange(request->decode, {});
     m_claims.release(turn, number, 0, Duration::zero(), true);
-    tryAgain(turn, number, failed, isCertainlyNotRun(event.outcome));
+    retryOrRefuse(turn, number, failed, isCertainlyNotExecuted(event.outcome));
 }
 
 void Requests::cancelFinished(Turn &turn, const CancelFinished &event)
 {
-    m_cancels.finished(turn, event);
+    m_cancels.handleFinished(turn, event);
 }
 
 bool Requests::handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome)
@@ -245,14 +245,14 @@
 
 void Requests::membersChanged(Turn &turn)
 {
-    for (const ClaimResult &result : m_claims.membersChanged(turn)) {
+    for (const ClaimResult &result : m_claims.handleMembersChanged(turn)) {
         handleResult(turn, result);
     }
 }
 
 void Requests::schedulerSilent(Turn &turn, const NodeName &node)
 {
-    for (const ClaimResult &result : m_claims.schedulerSilent(turn, node)) {
+    for (const ClaimResult &result : m_claims.handleSilentScheduler(turn, node)) {
         handleResult(turn, result);
     }
 }
@@ -274,16 +274,16 @@
     for (const RequestNumber number : stopped) {
         Request &request = m_requests.at(number);
         const RequestStage stage = request.stage;
-        dropCall(turn, request);
-        // The server lives and goes on unless it is told; what follows takes it for gone.
+        abandonCall(turn, request);
+        // The server is still running, and a decode that fails as NotFound sends no cancel.
         cancelAttempt(turn, number, request);
         if (stage == RequestStage::Prefilling) {
-            prefillFailed(turn, number, CallOutcome::NotFound);
+            handlePrefillFailure(turn, number, CallOutcome::NotFound);
         } else if (stage == RequestStage::Decoding) {
-            decodeFailed(turn, number, CallOutcome::NotFound);
+            handleDecodeFailure(turn, number, CallOutcome::NotFound);
         } else {
             m_claims.release(turn, number, 0, Duration::zero(), true);
-            tryAgain(turn, number, std::exchange(request.decode, {}), false);
+            retryOrRefuse(turn, number, std::exchange(request.decode, {}), false);
         }
     }
 }
@@ -300,9 +300,9 @@
             continue;
         }
         if (timer == Timer::Stall) {
-            stalled(turn, number);
+            handleStall(turn, number);
         } else {
-            retryDue(turn, number);
+            handleRetry(turn, number);
         }
     }
 }
@@ -342,7 +342,7 @@
     std::vector<RequestView> found;
     for (const auto &[number, request] : m_requests) {
         found.push_back({number, request.spec.target, request.spec.organisation, request.stage,
-                         now - request.arrived, request.answered,
+                         now - request.arrived, request.deliveredTokens,
                          request.decode.isEmpty() ? request.prefill : request.decode});
     }
     return found;
@@ -358,22 +358,22 @@
     return &m_requests.at(it->second);
 }
 
-EngineRequestName Requests::nameOf(const Turn &turn, RequestNumber number,
-                                   const Request &request) const
+EngineRequestName Requests::engineNameOf(const Turn &turn, RequestNumber number,
+                                         const Request &request) const
 {
     return engineRequestName(turn.members.life(), number, request.attempt);
 }
 
-void Requests::seekCapacity(Turn &turn, RequestNumber number, Request &request)
+void Requests::requestCapacity(Turn &turn, RequestNumber number, Request &request)
 {
     ++request.attempt;
-    request.base = request.answered;
-    request.received = 0;
+    request.deliveredBeforeAttempt = request.deliveredTokens;
+    request.attemptTokens = 0;
     request.prefill = {};
     request.decode = {};
-    request.isAlone = m_mode == PlacementMode::Alone;
-    if (request.isAlone) {
-        placeAlone(turn, number, request);
+    request.isPlacedLocally = m_mode == PlacementMode::Alone;
+    if (request.isPlacedLocally) {
+        placeLocally(turn, number, request);
         return;
     }
     request.stage = RequestStage::Queued;
@@ -383,20 +383,20 @@
     wanted.attempt = request.attempt;
     wanted.target = request.spec.target;
     const std::uint32_t cells = turn.cells.count(request.spec.target);
-    // A prompt's first tokens choose the cell, so that its cached prefix is found again.
+    // The hash of the prompt's first tokens selects the cell, so that cached prefixes are reused.
     wanted.cell = static_cast<std::uint32_t>(
         (request.spec.prefixHashes.empty() ? turn.below(cells) : request.spec.prefixHashes.front())
         % cells);
-    wanted.promptTokens = request.spec.promptTokens + request.answered;
+    wanted.promptTokens = request.spec.promptTokens + request.deliveredTokens;
     wanted.outputTokens =
-        request.maxOutputTokens - std::min(request.maxOutputTokens, request.answered);
+        request.maxOutputTokens - std::min(request.maxOutputTokens, request.deliveredTokens);
     wanted.untilDeadline = request.deadline - turn.now;
     wanted.patience = std::max(Duration::zero(), Duration(request.giveUpAt - turn.now));
     wanted.priority = request.priority;
-    wanted.isContinuation = request.answered > 0;
+    wanted.isContinuation = request.deliveredTokens > 0;
     wanted.prefixHashes = request.spec.prefixHashes;
     wanted.avoid = request.avoid;
-    if (const auto result = m_claims.claim(turn, wanted)) {
+    if (const auto result = m_claims.requestCapacity(turn, wanted)) {
         handleResult(turn, *result);
     }
 }
@@ -441,20 +441,21 @@
     Request &request = it->second;
     if (request.stage == RequestStage::Assigning) {
         turn.count(Counter::PrefillsWasted);
-        tryAgain(turn, refused.request, {}, false);
+        retryOrRefuse(turn, refused.request, {}, false);
         return;
     }
-    if (refused.why == NotGranted::Why::Overload) {
-        refuse(turn, refused.request, RefusalReason::Overload, refused.comeBackAfter);
+    if (refused.reason == NotGranted::Why::Overload) {
+        refuse(turn, refused.request, RefusalReason::Overload, refused.retryAfter);
         return;
     }
-    if (refused.why == NotGranted::Why::NotScheduler && ++request.strayAnswers > MostStrayAnswers) {
-        request.strayAnswers = 0;
-        placeAlone(turn, refused.request, request);
+    if (refused.reason == NotGranted::Why::NotScheduler
+        && ++request.wrongSchedulerReplies > MaxWrongSchedulerReplies) {
+        request.wrongSchedulerReplies = 0;
+        placeLocally(turn, refused.request, request);
         return;
     }
     request.stage = RequestStage::Waiting;
-    m_timers.set({Timer::Retry, refused.request}, turn.now + turn.jittered(AloneRetryAfter));
+    m_timers.set({Timer::Retry, refused.request}, turn.now + turn.jittered(PlacementRetryDelay));
 }
 
 void Requests::handleResult(Turn &turn, const SchedulerUnreachable &unreachable)
@@ -464,20 +465,20 @@
         return;
     }
     Request &request = it->second;
-    request.isAlone = true;
+    request.isPlacedLocally = true;
     if (request.stage != RequestStage::Assigning) {
-        placeAlone(turn, unreachable.request, request);
+        placeLocally(turn, unreachable.request, request);
         return;
     }
-    const auto server = chooseAlone(turn, request, Role::Decode);
+    const auto server = chooseLocally(turn, request, Role::Decode);
     if (!server) {
         turn.count(Counter::PrefillsWasted);
-        tryAgain(turn, unreachable.request, {}, false);
+        retryOrRefuse(turn, unreachable.request, {}, false);
         return;
     }
     turn.count(Counter::LocalPlacements);
     request.decode = *server;
-    m_local.started(*server);
+    m_localPlacement.recordStart(*server);
     startDecode(turn, unreachable.request, request);
 }
 
@@ -490,46 +491,46 @@
     }
     Request &request = it->second;
     if (std::holds_alternative<Reserved>(result)) {
-        seekCapacity(turn, number, request);
+        requestCapacity(turn, number, request);
         return;
     }
     if (const auto *other = std::get_if<ReservedByOther>(&result)) {
-        // What became of the earlier request is not for this one's end to change.
+        // The record belongs to the earlier request and must not be changed.
         request.isReserved = false;
         refuse(turn, number,
                other->isDone ? RefusalReason::AlreadyDone : RefusalReason::AlreadyRunning,
-               other->mayRun ? ComeBackSoon : Duration::zero());
+               other->mayRun ? ShortRetryAfter : Duration::zero());
         return;
     }
-    refuse(turn, number, RefusalReason::StoreUnavailable, ComeBackSoon * 5);
+    refuse(turn, number, RefusalReason::StoreUnavailable, ShortRetryAfter * 5);
 }
 
-void Requests::placeAlone(Turn &turn, RequestNumber number, Request &request)
+void Requests::placeLocally(Turn &turn, RequestNumber number, Request &request)
 {
-    request.isAlone = true;
+    request.isPlacedLocally = true;
     const bool isService = request.spec.isService;
-    const auto first = chooseAlone(turn, request, isService ? Role::Service : Role::Prefill);
-    // The decode server is chosen before the prefill, by this node's own quota: without one a
-    // prefill would be started for which no slot may be there.
+    const auto first = chooseLocally(turn, request, isService ? Role::Service : Role::Prefill);
+    // The decode server is chosen before the prefill, within this node's quota; otherwise a
+    // prefill could start without a decode slot for its result.
     std::optional<ServerName> second;
     if (first && !isService && m_mode == PlacementMode::Granted) {
-        second = chooseAlone(turn, request, Role::Decode);
+        second = chooseLocally(turn, request, Role::Decode);
     }
     const bool isComplete = first && (isService || m_mode == PlacementMode::Alone || second);
     if (!isComplete) {
         const Target *target = turn.deployment.target(request.spec.target);
         const bool isLate = target && target->late == LatePolicy::Refuse
-            && turn.now >= request.deadline && request.answered == 0;
+            && turn.now >= request.deadline && request.deliveredTokens == 0;
         if (turn.now >= request.giveUpAt || isLate) {
-            refuse(turn, number, RefusalReason::NoServer, ComeBackSoon);
+            refuse(turn, number, RefusalReason::NoServer, ShortRetryAfter);
             return;
         }
         request.stage = RequestStage::Waiting;
-        m_timers.set({Timer::Retry, number}, turn.now + turn.jittered(AloneRetryAfter));
+        m_timers.set({Timer::Retry, number}, turn.now + turn.jittered(PlacementRetryDelay));
         return;
     }
     turn.count(Counter::LocalPlacements);
-    m_local.started(*first);
+    m_localPlacement.recordStart(*first);
     if (isService) {
         request.decode = *first;
         startService(turn, number, request);
@@ -538,12 +539,12 @@
     request.prefill = *first;
     if (second) {
         request.decode = *second;
-        m_local.started(*second);
+        m_localPlacement.recordStart(*second);
     }
     startPrefill(turn, number, request);
 }
 
-std::optional<ServerName> Requests::chooseAlone(Turn &turn, const Request &request, Role role)
+std::optional<ServerName> Requests::chooseLocally(Turn &turn, const Request &request, Role role)
 {
     std::vector<ServerName> candidates;
     std::vector<ServerName> avoided;
@@ -564,47 +565,48 @@
         candidates = std::move(avoided);
     }
     if (m_mode == PlacementMode::Alone) {
-        return m_local.choose(turn, candidates, 0);
+        return m_localPlacement.choose(turn, candidates, 0);
     }
     const auto nodes = static_cast<std::uint32_t>(turn.members.presentCount());
-    return m_local.choose(turn, candidates, role == Role::Prefill ? 1 : slots / nodes + 1);
+    return m_localPlacement.choose(turn, candidates, role == Role::Prefill ? 1 : slots / nodes + 1);
 }
 
 void Requests::startPrefill(Turn &turn, RequestNumber number, Request &request)
 {
     const Server *server = turn.deployment.server(request.prefill);
     if (!server) {
-        tryAgain(turn, number, request.prefill, true);
+        retryOrRefuse(turn, number, request.prefill, true);
         return;
     }
-    newCall(turn, number, request, RequestStage::Prefilling);
+    beginCall(turn, number, request, RequestStage::Prefilling);
     turn.count(Counter::PrefillsStarted);
-    turn.add(StartPrefill {request.call, number, nameOf(turn, number, request), request.prefill,
-                           server->address, request.answered, !request.isRepeatable});
+    turn.add(StartPrefill {request.call, number, engineNameOf(turn, number, request),
+                           request.prefill, server->address, request.deliveredTokens,
+                           !request.isRepeatable});
 }
 
 void Requests::startDecode(Turn &turn, RequestNumber number, Request &request)
 {
     const Server *server = turn.deployment.server(request.decode);
     if (!server) {
-        tryAgain(turn, number, request.decode, false);
+        retryOrRefuse(turn, number, request.decode, false);
         return;
     }
-    newCall(turn, number, request, RequestStage::Decoding);
+    beginCall(turn, number, request, RequestStage::Decoding);
     turn.count(Counter::DecodesStarted);
-    turn.add(StartDecode {request.call, number, nameOf(turn, number, request), request.decode,
-                          server->address, request.answered});
+    turn.add(StartDecode {request.call, number, engineNameOf(turn, number, request), request.decode,
+                          server->address, request.deliveredTokens});
 }
 
 void Requests::startService(Turn &turn, RequestNumber number, Request &request)
 {
     const Server *server = turn.deployment.server(request.decode);
     if (!server) {
-        tryAgain(turn, number, request.decode, true);
+        retryOrRefuse(turn, number, request.decode, true);
         return;
     }
-    newCall(turn, number, request, RequestStage::Serving);
-    turn.add(CallService {request.call, number, nameOf(turn, number, request), request.decode,
+    beginCall(turn, number, request, RequestStage::Serving);
+    turn.add(CallService {request.call, number, engineNameOf(turn, number, request), request.decode,
                           server->address, !request.isRepeatable});
 }
 
@@ -612,27 +614,27 @@
 {
     const Server *server = turn.deployment.server(request.decode);
     if (!server) {
-        decodeFailed(turn, number, CallOutcome::NotFound);
+        handleDecodeFailure(turn, number, CallOutcome::NotFound);
         return;
     }
-    newCall(turn, number, request, RequestStage::Decoding);
+    beginCall(turn, number, request, RequestStage::Decoding);
     turn.count(Counter::DecodesResumed);
-    turn.add(ResumeDecode {request.call, number, nameOf(turn, number, request), request.decode,
-                           server->address, request.received});
+    turn.add(ResumeDecode {request.call, number, engineNameOf(turn, number, request),
+                           request.decode, server->address, request.attemptTokens});
 }
 
-void Requests::newCall(Turn &turn, RequestNumber number, Request &request, RequestStage stage)
+void Requests::beginCall(Turn &turn, RequestNumber number, Request &request, RequestStage stage)
 {
     request.call = turn.numbers.next<CallNumber>();
     request.stage = stage;
     request.wasDispatchedBefore = std::exchange(request.wasDispatched, true);
     request.callStarted = turn.now;
-    request.progress = turn.now;
+    request.lastProgress = turn.now;
     m_calls[request.call] = number;
     m_timers.set({Timer::Stall, number}, turn.now + stallLimit(request));
 }
 
-void Requests::dropCall(Turn &turn, Request &request)
+void Requests::abandonCall(Turn &turn, Request &request)
 {
     if (request.call.isNone()) {
         return;
@@ -642,75 +644,75 @@
     request.call = {};
 }
 
-void Requests::prefillFailed(Turn &turn, RequestNumber number, CallOutcome outcome)
+void Requests::handlePrefillFailure(Turn &turn, RequestNumber number, CallOutcome outcome)
 {
     Request &request = m_requests.at(number);
     request.call = {};
-    if (!isCertainlyNotRun(outcome)) {
+    if (!isCertainlyNotExecuted(outcome)) {
         cancelAttempt(turn, number, request);
     }
-    if (request.isAlone && !request.decode.isEmpty()) {
-        m_local.ended(turn.now, request.decode, Duration::zero(), true);
+    if (request.isPlacedLocally && !request.decode.isEmpty()) {
+        m_localPlacement.recordEnd(turn.now, request.decode, Duration::zero(), true);
     }
-    m_claims.prefillFailed(turn, number);
+    m_claims.reportPrefillFailure(turn, number);
     if (outcome == CallOutcome::Invalid) {
         request.wasDispatched = request.wasDispatchedBefore;
         refuse(turn, number, RefusalReason::RejectedByBackend, Duration::zero());
         return;
     }
-    tryAgain(turn, number, request.prefill, isCertainlyNotRun(outcome));
+    retryOrRefuse(turn, number, request.prefill, isCertainlyNotExecuted(outcome));
 }
 
-void Requests::decodeFailed(Turn &turn, RequestNumber number, CallOutcome outcome)
+void Requests::handleDecodeFailure(Turn &turn, RequestNumber number, CallOutcome outcome)
 {
     Request &request = m_requests.at(number);
     m_timers.clear({Timer::Stall, number});
     request.call = {};
     const bool isBroken = outcome == CallOutcome::Truncated || outcome == CallOutcome::Crossed;
-    if (isBroken && request.resumes < MostResumes) {
+    if (isBroken && request.resumes < MaxResumes) {
         ++request.resumes;
         request.stage = RequestStage::Resuming;
         m_timers.set({Timer::Retry, number},
-                     turn.now + turn.jittered(ResumeAfter * (1 << request.resumes)));
+                     turn.now + turn.jittered(ResumeDelay * (1 << request.resumes)));
         return;
     }
-    if (outcome == CallOutcome::Rejected && request.refusals < MostEngineRefusals) {
-        // The engine is full for a moment, and the prefill's result is still kept.
-        ++request.refusals;
+    if (outcome == CallOutcome::Rejected && request.engineRejections < MaxEngineRejections) {
+        // The engine is temporarily full and the prefill's result is still available.
+        ++request.engineRejections;
         request.stage = RequestStage::Waiting;
-        m_timers.set({Timer::Retry, number}, turn.now + turn.jittered(RefusedRetryAfter));
+        m_timers.set({Timer::Retry, number}, turn.now + turn.jittered(RejectedRetryDelay));
         return;
     }
-    if (request.received == 0) {
+    if (request.attemptTokens == 0) {
         turn.count(Counter::PrefillsWasted);
     }
     if (outcome != CallOutcome::NotFound) {
         cancelAttempt(turn, number, request);
     }
     const ServerName failed = std::exchange(request.decode, {});
-    if (request.isAlone) {
-        m_local.ended(turn.now, failed, Duration::zero(), false);
-    }
-    const bool isServersFault =
-        outcome != CallOutcome::NotFound && outcome != CallOutcome::Rejected;
-    m_claims.release(turn, number, 0, Duration::zero(), isServersFault);
-    if (request.answered >= request.maxOutputTokens && request.maxOutputTokens > 0) {
-        // All that was asked for has been given; only the engine's last marker was lost.
+    if (request.isPlacedLocally) {
+        m_localPlacement.recordEnd(turn.now, failed, Duration::zero(), false);
+    }
+    const bool isServerFault = outcome != CallOutcome::NotFound && outcome != CallOutcome::Rejected;
+    m_claims.release(turn, number, 0, Duration::zero(), isServerFault);
+    if (request.deliveredTokens >= request.maxOutputTokens && request.maxOutputTokens > 0) {
+        // All tokens have been delivered; only the engine's end marker was lost.
         finish(turn, number);
         return;
     }
-    tryAgain(turn, number, isServersFault ? failed : ServerName(), false);
+    retryOrRefuse(turn, number, isServerFault ? failed : ServerName(), false);
 }
 
-void Requests::tryAgain(Turn &turn, RequestNumber number, const ServerName &failed, bool isCertain)
+void Requests::retryOrRefuse(Turn &turn, RequestNumber number, const ServerName &failed,
+                             bool isNotExecuted)
 {
     Request &request = m_requests.at(number);
     m_timers.clear({Timer::Stall, number});
     m_claims.release(turn, number, 0, Duration::zero(), false);
-    if (isCertain) {
+    if (isNotExecuted) {
         request.wasDispatched = request.wasDispatchedBefore;
     }
-    if (!request.isRepeatable && !isCertain) {
+    if (!request.isRepeatable && !isNotExecuted) {
         refuse(turn, number, RefusalReason::BackendFailed, Duration::zero());
         return;
     }
@@ -718,8 +720,9 @@
     if (!failed.isEmpty()) {
         request.avoid.push_back(failed);
     }
-    if (request.failures > MostFailures || turn.now >= request.giveUpAt || !m_budget.take()) {
-        refuse(turn, number, RefusalReason::BackendFailed, ComeBackSoon);
+    if (request.failures > MaxFailures || turn.now >= request.giveUpAt
+        || !m_retryBudget.tryConsume()) {
+        refuse(turn, number, RefusalReason::BackendFailed, ShortRetryAfter);
         return;
     }
     turn.count(Counter::Retries);
@@ -727,39 +730,39 @@
     request.decode = {};
     request.prefill = {};
     request.resumes = 0;
-    request.refusals = 0;
-    const int doublings = std::min<int>(static_cast<int>(request.failures), MostDoublings);
+    request.engineRejections = 0;
+    const int doublings = std::min<int>(static_cast<int>(request.failures), MaxRetryDoublings);
     m_timers.set({Timer::Retry, number},
-                 turn.now + turn.jittered(RetryAfter * (1 << (doublings - 1))));
+                 turn.now + turn.jittered(RetryDelay * (1 << (doublings - 1))));
 }
 
-void Requests::stalled(Turn &turn, RequestNumber number)
+void Requests::handleStall(Turn &turn, RequestNumber number)
 {
     Request &request = m_requests.at(number);
     if (request.call.isNone()) {
         return;
     }
-    const TimePoint due = request.progress + stallLimit(request);
+    const TimePoint due = request.lastProgress + stallLimit(request);
     if (turn.now < due) {
         m_timers.set({Timer::Stall, number}, due);
         return;
     }
     const RequestStage stage = request.stage;
-    dropCall(turn, request);
+    abandonCall(turn, request);
     if (stage == RequestStage::Prefilling) {
-        m_local.ended(turn.now, request.prefill, Duration::zero(), false);
-        prefillFailed(turn, number, CallOutcome::TimedOut);
+        m_localPlacement.recordEnd(turn.now, request.prefill, Duration::zero(), false);
+        handlePrefillFailure(turn, number, CallOutcome::TimedOut);
     } else if (stage == RequestStage::Decoding) {
-        decodeFailed(turn, number, CallOutcome::TimedOut);
+        handleDecodeFailure(turn, number, CallOutcome::TimedOut);
     } else {
         const ServerName failed = std::exchange(request.decode, {});
-        m_local.ended(turn.now, failed, Duration::zero(), false);
+        m_localPlacement.recordEnd(turn.now, failed, Duration::zero(), false);
         m_claims.release(turn, number, 0, Duration::zero(), true);
-        tryAgain(turn, number, failed, false);
+        retryOrRefuse(turn, number, failed, false);
     }
 }
 
-void Requests::retryDue(Turn &turn, RequestNumber number)
+void Requests::handleRetry(Turn &turn, RequestNumber number)
 {
     Request &request = m_requests.at(number);
     if (request.stage == RequestStage::Resuming) {
@@ -769,29 +772,29 @@
     if (request.stage != RequestStage::Waiting) {
         return;
     }
-    if (!request.decode.isEmpty() && request.call.isNone() && request.refusals > 0) {
+    if (!request.decode.isEmpty() && request.call.isNone() && request.engineRejections > 0) {
         startDecode(turn, number, request);
         return;
     }
     if (turn.now >= request.giveUpAt) {
-        refuse(turn, number, RefusalReason::Overload, ComeBackSoon);
+        refuse(turn, number, RefusalReason::Overload, ShortRetryAfter);
         return;
     }
-    seekCapacity(turn, number, request);
+    requestCapacity(turn, number, request);
 }
 
 void Requests::finish(Turn &turn, RequestNumber number)
 {
     Request &request = m_requests.at(number);
     const Duration decodeTime = turn.now - request.attemptFirstToken;
-    if (request.answered > 1 && !request.spec.isService) {
+    if (request.deliveredTokens > 1 && !request.spec.isService) {
         turn.add(Observe {Histogram::BetweenTokens,
-                          (turn.now - request.firstToken) / (request.answered - 1)});
+                          (turn.now - request.firstToken) / (request.deliveredTokens - 1)});
     }
-    if (!request.decode.isEmpty() && request.isAlone && !request.spec.isService) {
-        m_local.ended(turn.now, request.decode, turn.now - request.callStarted, true);
+    if (!request.decode.isEmpty() && request.isPlacedLocally && !request.spec.isService) {
+        m_localPlacement.recordEnd(turn.now, request.decode, turn.now - request.callStarted, true);
     }
-    const std::uint32_t tokens = request.spec.isService ? 2 : request.received;
+    const std::uint32_t tokens = request.spec.isService ? 2 : request.attemptTokens;
     m_claims.release(turn, number, tokens, decodeTime, false);
     m_reservations.end(turn, number, ReservationEnd::Done);
     m_timers.clear({Timer::Stall, number});
@@ -801,11 +804,10 @@
     m_requests.erase(number);
 }
 
-void Requests::refuse(Turn &turn, RequestNumber number, RefusalReason reason,
-                      Duration comeBackAfter)
+void Requests::refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration retryAfter)
 {
     Request &request = m_requests.at(number);
-    letGo(turn, number, request, false);
+    releaseResources(turn, number, request, false);
     Execution execution = request.wasDispatched ? Execution::InDoubt : Execution::NotExecuted;
     if (reason == RefusalReason::AlreadyDone) {
         execution = Execution::Done;
@@ -818,28 +820,29 @@
                                                  : ReservationEnd::NotExecuted);
     }
     turn.count(request.wasDispatched ? Counter::RequestsFailed : Counter::RequestsRefused);
-    turn.add(RefuseRequest {number, reason, execution, comeBackAfter});
+    turn.add(RefuseRequest {number, reason, execution, retryAfter});
     m_requests.erase(number);
 }
 
-void Requests::letGo(Turn &turn, RequestNumber number, Request &request, bool serverFailed)
+void Requests::releaseResources(Turn &turn, RequestNumber number, Request &request,
+                                bool serverFailed)
 {
     const bool isRunning = !request.call.isNone() || request.stage == RequestStage::Assigning
         || request.stage == RequestStage::Resuming || !request.decode.isEmpty();
-    dropCall(turn, request);
+    abandonCall(turn, request);
     if (isRunning) {
         cancelAttempt(turn, number, request);
     }
-    if (request.isAlone) {
+    if (request.isPlacedLocally) {
         for (const ServerName &server : {request.decode, request.prefill}) {
             const bool isCounted = !server.isEmpty()
                 && (server == request.decode || request.stage == RequestStage::Prefilling);
             if (isCounted) {
-                m_local.ended(turn.now, server, Duration::zero(), true);
+                m_localPlacement.recordEnd(turn.now, server, Duration::zero(), true);
             }
         }
     }
-    if (request.stage == RequestStage::Decoding && request.received == 0) {
+    if (request.stage == RequestStage::Decoding && request.attemptTokens == 0) {
         turn.count(Counter::PrefillsWasted);
     }
     m_claims.release(turn, number, 0, Duration::zero(), serverFailed);
@@ -852,10 +855,10 @@
     if (request.spec.isService) {
         return;
     }
-    // The prefill server as well: it keeps the exported KV cache until it expires.
+    // The prefill server is included because it keeps the exported KV cache until it expires.
     for (const ServerName &server : {request.prefill, request.decode}) {
         if (!server.isEmpty()) {
-            m_cancels.cancel(turn, server, nameOf(turn, number, request));
+            m_cancels.cancel(turn, server, engineNameOf(turn, number, request));
         }
     }
 }
@@ -863,16 +866,17 @@
 Duration Requests::stallLimit(const Request &request) const
 {
     if (m_mode == PlacementMode::Alone) {
-        // Without admission calls wait in the engines' own queues, which is no fault of theirs.
-        return AloneStall;
+        // Without admission control, calls also wait in the engines' own queues.
+        return LocalModeStallLimit;
     }
     switch (request.stage) {
     case RequestStage::Prefilling:
-        return PrefillStall + PrefillStallPerToken * (request.spec.promptTokens + request.answered);
+        return PrefillStallLimit
+            + PrefillStallLimitPerToken * (request.spec.promptTokens + request.deliveredTokens);
     case RequestStage::Serving:
-        return ServiceStall;
+        return ServiceStallLimit;
     default:
-        return DecodeStall;
+        return DecodeStallLimit;
     }
 }
 
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -20,19 +20,19 @@
 
 class Turn;
 
-/** Where a request is between its arrival and its one end. */
+/** The stages of a request between its arrival and its end. */
 enum class RequestStage {
-    Reserving, ///< Its key is being created in the store.
-    Queued,    ///< Waits for capacity.
+    Reserving, ///< Its idempotency key is being created in the store.
+    Queued,    ///< Waiting for capacity.
     Prefilling,
-    Assigning, ///< Prefilled; waits to be told its decode server.
+    Assigning, ///< Prefilled; waiting for a decode server.
     Decoding,  ///< The KV cache is transferred and tokens are generated.
-    Resuming,  ///< The stream broke off; it will be attached to again.
-    Waiting,   ///< Waits before another try.
-    Serving,   ///< A plain service has it.
+    Resuming,  ///< The stream was interrupted and will be resumed.
+    Waiting,   ///< Waiting for a retry.
+    Serving,   ///< Running on a plain service.
 };
 
-/** A request as operators see it. */
+/** A request as shown to operators. */
 struct RequestView
 {
     RequestNumber request;
@@ -44,24 +44,24 @@
     ServerName server;
 };
 
-/** Stage's name in operators' answers. */
+/** Returns the name of @p stage in the answers to operators. */
 std::string stageName(RequestStage stage);
 
-/** How requests find their servers. */
+/** Selects who places requests on servers. */
 enum class PlacementMode {
-    Granted, ///< By the cell's scheduler; alone only while that cannot be reached.
-    Alone,   ///< Always alone, without quotas: the measurements' baselines.
+    Granted, ///< The cell's scheduler, or this node while the scheduler is unreachable.
+    Alone,   ///< Always this node, without quotas; used by the benchmarks' baselines.
 };
 
-/** Limits of one node. */
+/** Limits per node. */
 struct RequestLimits
 {
-    std::size_t mostOpen = 4000; ///< Requests open at a time.
+    std::size_t mostOpen = 4000; ///< Requests that are open at the same time.
 };
 
 /**
- * The life of each request that came to this node. A request has one end: FinishAnswer or
- * RefuseRequest is added to the effects once, and nothing for it after that.
+ * Runs the requests that arrive at this node, from arrival to end. A request ends with exactly one
+ * FinishAnswer or RefuseRequest effect, unless its caller disconnects first.
  */
 class Requests
 {
@@ -75,27 +75,27 @@
     void decodeFinished(Turn &turn, const DecodeFinished &event);
     void serviceFinished(Turn &turn, const ServiceFinished &event);
     void cancelFinished(Turn &turn, const CancelFinished &event);
-    void report(const ReportArrived &event) { m_local.report(event); }
+    void report(const ReportArrived &event) { m_localPlacement.applyReport(event); }
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     void storeAnswered(Turn &turn, const StoreAnswered &answer);
     void membersChanged(Turn &turn);
     void schedulerSilent(Turn &turn, const NodeName &node);
-    /** Cancels what runs on servers that operators have stopped or removed. */
+    /** Cancels and retries the requests on servers that operators have stopped or removed. */
     void configurationChanged(Turn &turn);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const;
 
-    /** No request is taken from now on. */
+    /** Refuses all requests that arrive from now on. */
     void leave() { m_isLeaving = true; }
-    /** Frees what an engine holds for a request that nobody owns. */
+    /** Cancels the orphaned request @p name on @p server. */
     void reclaim(Turn &turn, const ServerName &server, const EngineRequestName &name);
-    /** Whether @p name is an attempt that this node still wants. */
+    /** Returns whether @p name is the current attempt of an open request of this node. */
     bool owns(const EngineRequestName &name) const;
     std::size_t open() const { return m_requests.size(); }
-    /** Work that must be done before the process may end. */
+    /** Returns the number of requests, cancels and reservations that must end before shutdown. */
     std::size_t unfinished() const;
     std::vector<RequestView> views(TimePoint now) const;
-    std::set<NodeName> takeDoubted() { return m_claims.takeDoubted(); }
+    std::set<NodeName> takeDoubted() { return m_claims.takeSchedulersToProbe(); }
 
 private:
     struct Request
@@ -104,64 +104,66 @@
         RequestStage stage = RequestStage::Queued;
         TimePoint arrived {};
         TimePoint deadline {}; ///< For the first token.
-        TimePoint giveUpAt {}; ///< For being served at all.
+        TimePoint giveUpAt {}; ///< End of the patience; no retry starts later.
         std::uint32_t priority = 4;
         std::uint32_t maxOutputTokens = 0;
         bool isRepeatable = true;
         bool isReserved = false;
-        bool wasDispatched = false;       ///< A server may have run some of it.
-        bool wasDispatchedBefore = false; ///< The same, before the current call.
-        bool isAlone = false;             ///< Placed by this node itself.
+        bool wasDispatched = false;       ///< A server may have executed part of it.
+        bool wasDispatchedBefore = false; ///< Value of wasDispatched before the current call.
+        bool isPlacedLocally = false;     ///< Placed without the scheduler.
         std::uint32_t attempt = 0;
         std::uint32_t failures = 0;
         std::uint32_t resumes = 0;
-        std::uint32_t refusals = 0;     ///< By engines that were full.
-        std::uint32_t strayAnswers = 0; ///< By nodes that do not schedule the cell.
+        std::uint32_t engineRejections = 0;      ///< By engines without free capacity.
+        std::uint32_t wrongSchedulerReplies = 0; ///< From nodes that do not schedule the cell.
         CallNumber call;
         ServerName prefill;
         ServerName decode;
         std::vector<ServerName> avoid;
-        std::uint32_t answered = 0; ///< Tokens that the caller was given.
-        std::uint32_t base = 0;     ///< Of these, before this attempt.
-        std::uint32_t received = 0; ///< Tokens of this attempt.
+        std::uint32_t deliveredTokens = 0;        ///< Tokens sent to the caller.
+        std::uint32_t deliveredBeforeAttempt = 0; ///< Of these, before this attempt.
+        std::uint32_t attemptTokens = 0;          ///< Tokens received in this attempt.
         TimePoint callStarted {};
-        TimePoint progress {};
+        TimePoint lastProgress {};
         TimePoint firstToken {};
         TimePoint attemptFirstToken {};
     };
     using Table = std::map<RequestNumber, Request>;
     enum class Timer {
-        Stall, ///< A call makes no progress.
+        Stall, ///< Checks whether the call makes progress.
         Retry,
     };
     using TimerKey = std::pair<Timer, RequestNumber>;
 
     Request *requestOf(CallNumber call, RequestNumber *number);
-    EngineRequestName nameOf(const Turn &turn, RequestNumber number, const Request &request) const;
-    void seekCapacity(Turn &turn, RequestNumber number, Request &request);
+    EngineRequestName engineNameOf(const Turn &turn, RequestNumber number,
+                                   const Request &request) const;
+    void requestCapacity(Turn &turn, RequestNumber number, Request &request);
     void handleResult(Turn &turn, const ClaimResult &result);
     void handleResult(Turn &turn, const ClaimGranted &granted);
     void handleResult(Turn &turn, const DecodeChosen &chosen);
     void handleResult(Turn &turn, const ClaimRefused &refused);
     void handleResult(Turn &turn, const SchedulerUnreachable &unreachable);
     void handleReservation(Turn &turn, const ReservationResult &result);
-    void placeAlone(Turn &turn, RequestNumber number, Request &request);
-    std::optional<ServerName> chooseAlone(Turn &turn, const Request &request, Role role);
+    void placeLocally(Turn &turn, RequestNumber number, Request &request);
+    std::optional<ServerName> chooseLocally(Turn &turn, const Request &request, Role role);
     void startPrefill(Turn &turn, RequestNumber number, Request &request);
     void startDecode(Turn &turn, RequestNumber number, Request &request);
     void startService(Turn &turn, RequestNumber number, Request &request);
     void resume(Turn &turn, RequestNumber number, Request &request);
-    void newCall(Turn &turn, RequestNumber number, Request &request, RequestStage stage);
-    void dropCall(Turn &turn, Request &request);
-    void prefillFailed(Turn &turn, RequestNumber number, CallOutcome outcome);
-    void decodeFailed(Turn &turn, RequestNumber number, CallOutcome outcome);
-    void tryAgain(Turn &turn, RequestNumber number, const ServerName &failed, bool isCertain);
-    void stalled(Turn &turn, RequestNumber number);
-    void retryDue(Turn &turn, RequestNumber number);
+    void beginCall(Turn &turn, RequestNumber number, Request &request, RequestStage stage);
+    void abandonCall(Turn &turn, Request &request);
+    void handlePrefillFailure(Turn &turn, RequestNumber number, CallOutcome outcome);
+    void handleDecodeFailure(Turn &turn, RequestNumber number, CallOutcome outcome);
+    void retryOrRefuse(Turn &turn, RequestNumber number, const ServerName &failed,
+                       bool isNotExecuted);
+    void handleStall(Turn &turn, RequestNumber number);
+    void handleRetry(Turn &turn, RequestNumber number);
     void finish(Turn &turn, RequestNumber number);
-    void refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration comeBackAfter);
-    /** Ends the request's calls, claims and engine memory. */
-    void letGo(Turn &turn, RequestNumber number, Request &request, bool serverFailed);
+    void refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration retryAfter);
+    /** Releases the request's call, claim, timers and engine memory. */
+    void releaseResources(Turn &turn, RequestNumber number, Request &request, bool serverFailed);
     void cancelAttempt(Turn &turn, RequestNumber number, const Request &request);
     Duration stallLimit(const Request &request) const;
 
@@ -172,8 +174,8 @@
     CapacityClaims m_claims;
     Cancels m_cancels;
     Reservations m_reservations;
-    RetryBudget m_budget;
-    LocalPlacement m_local;
+    RetryBudget m_retryBudget;
+    LocalPlacement m_localPlacement;
     Deadlines<TimerKey> m_timers;
     std::optional<NodeLife> m_life;
     bool m_isLeaving = false;
--- a/src/requests/reservations.cpp
+++ b/src/requests/reservations.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 const std::string Prefix = "/indigoway/once/";
-/** How long a key is remembered: longer than any caller is told to keep asking. */
+/** Lifetime of a key in the store; longer than any caller retries. */
 constexpr Duration KeyLifetime = std::chrono::hours(24);
-/** Keys of one hour share a lease, so that leases cost a call an hour and not one a request. */
-constexpr Duration LeaseSharedFor = std::chrono::hours(1);
-constexpr int MostTries = 3;
-constexpr Duration RetryAfter = std::chrono::milliseconds(300);
-constexpr Duration EndRetryAfter = std::chrono::seconds(1);
-constexpr int MostEndTries = 600;
+/** Time for which new keys share a lease, so that a request does not cost a lease of its own. */
+constexpr Duration LeaseReusePeriod = std::chrono::hours(1);
+constexpr int MaxTries = 3;
+constexpr Duration RetryDelay = std::chrono::milliseconds(300);
+constexpr Duration EndRetryDelay = std::chrono::seconds(1);
+constexpr int MaxEndTries = 600;
 
 } // namespace
 
@@ -27,7 +27,7 @@
     sendReserve(turn, request, entry);
 }
 
-void Reservations::end(Turn &turn, RequestNumber request, ReservationEnd how)
+void Reservations::end(Turn &turn, RequestNumber request, ReservationEnd outcome)
 {
     const auto it = m_entries.find(request);
     if (it == m_entries.end() || it->second.state == State::Ending) {
@@ -40,8 +40,8 @@
     }
     m_calls.erase(it->second.call);
     it->second.state = State::Ending;
-    it->second.tries = 0;
-    it->second.how = how;
+    it->second.attempts = 0;
+    it->second.outcome = outcome;
     sendEnd(turn, request, it->second);
 }
 
@@ -52,11 +52,11 @@
         const auto *result = std::get_if<StoreResult>(&answer.outcome);
         if (result) {
             m_lease = result->lease;
-            m_leaseSince = turn.now;
+            m_leaseGrantedAt = turn.now;
         }
         for (auto &[request, entry] : m_entries) {
             if (entry.state == State::NeedsLease) {
-                m_timers.set(request, turn.now + (result ? Duration::zero() : RetryAfter));
+                m_timers.set(request, turn.now + (result ? Duration::zero() : RetryDelay));
             }
         }
         return std::nullopt;
@@ -72,10 +72,10 @@
         return std::nullopt;
     }
     if (it->second.state == State::Ending) {
-        endAnswered(turn, request, it->second, answer);
+        handleEndAnswer(turn, request, it->second, answer);
         return std::nullopt;
     }
-    return reserveAnswered(turn, request, it->second, answer);
+    return handleReserveAnswer(turn, request, it->second, answer);
 }
 
 std::vector<ReservationResult> Reservations::runDue(Turn &turn)
@@ -89,7 +89,7 @@
         Entry &entry = it->second;
         if (entry.state == State::Ending) {
             sendEnd(turn, request, entry);
-        } else if (++entry.tries > MostTries) {
+        } else if (++entry.attempts > MaxTries) {
             results.emplace_back(ReservationUnavailable {request});
         } else {
             sendReserve(turn, request, entry);
@@ -100,15 +100,15 @@
 
 void Reservations::sendReserve(Turn &turn, RequestNumber request, Entry &entry)
 {
-    if (m_lease == 0 || turn.now - m_leaseSince > LeaseSharedFor) {
-        askForLease(turn);
-        m_timers.set(request, turn.now + RetryAfter);
+    if (m_lease == 0 || turn.now - m_leaseGrantedAt > LeaseReusePeriod) {
+        requestLease(turn);
+        m_timers.set(request, turn.now + RetryDelay);
         return;
     }
     entry.state = State::Reserving;
     StoreTransaction create;
     create.conditions = {{entry.storeKey, 0, std::nullopt}};
-    create.puts = {{entry.storeKey, record(turn, request, "running"), m_lease}};
+    create.puts = {{entry.storeKey, recordText(turn, request, "running"), m_lease}};
     create.elseGet = {entry.storeKey};
     entry.call = turn.callStore(create);
     m_calls[entry.call] = request;
@@ -116,28 +116,29 @@
 
 void Reservations::sendEnd(Turn &turn, RequestNumber request, Entry &entry)
 {
-    // Only over this request's own record: the creation may not have been answered, and then the
-    // key can be another's. If it does not apply, an earlier try has, or the key is not ours.
+    // Applies only to this request's own record, since the key may belong to another request if
+    // its creation was not answered.
     StoreTransaction transaction;
-    transaction.conditions = {{entry.storeKey, 0, record(turn, request, "running")}};
-    if (entry.how == ReservationEnd::NotExecuted) {
+    transaction.conditions = {{entry.storeKey, 0, recordText(turn, request, "running")}};
+    if (entry.outcome == ReservationEnd::NotExecuted) {
         transaction.deletes = {entry.storeKey};
     } else {
-        const char *state = entry.how == ReservationEnd::Done ? "done" : "in doubt";
-        transaction.puts = {{entry.storeKey, record(turn, request, state), m_lease}};
+        const char *state = entry.outcome == ReservationEnd::Done ? "done" : "in doubt";
+        transaction.puts = {{entry.storeKey, recordText(turn, request, state), m_lease}};
     }
     entry.call = turn.callStore(transaction);
     m_calls[entry.call] = request;
 }
 
-void Reservations::askForLease(Turn &turn)
+void Reservations::requestLease(Turn &turn)
 {
     if (m_leaseCall.isNone()) {
         m_leaseCall = turn.callStore(StoreGrantLease {KeyLifetime});
     }
 }
 
-std::string Reservations::record(const Turn &turn, RequestNumber request, const char *state) const
+std::string Reservations::recordText(const Turn &turn, RequestNumber request,
+                                     const char *state) const
 {
     Json::Value value;
     value["node"] = turn.members.life().node.text();
@@ -147,15 +148,16 @@
     return jsonText(value);
 }
 
-std::optional<ReservationResult> Reservations::reserveAnswered(Turn &turn, RequestNumber request,
-                                                               Entry &entry,
-                                                               const StoreAnswered &answer)
+std::optional<ReservationResult> Reservations::handleReserveAnswer(Turn &turn,
+                                                                   RequestNumber request,
+                                                                   Entry &entry,
+                                                                   const StoreAnswered &answer)
 {
     const auto *result = std::get_if<StoreResult>(&answer.outcome);
     if (!result) {
-        // It may have taken effect: the same transaction again settles it, since a key that
-        // carries this request's own record is this request's reservation.
-        m_timers.set(request, turn.now + turn.jittered(RetryAfter));
+        // The transaction may have been applied. Repeating it is safe: a key with this request's
+        // own record counts as reserved.
+        m_timers.set(request, turn.now + turn.jittered(RetryDelay));
         return std::nullopt;
     }
     if (result->isApplied) {
@@ -169,9 +171,9 @@
     const Json::Value found = parseJson(result->entries.front().value);
     const NodeLife owner {NodeName(stringMember(found, "node")),
                           Incarnation(numberMember(found, "incarnation"))};
-    const bool isMine =
+    const bool isOwn =
         owner == turn.members.life() && numberMember(found, "request") == request.value();
-    if (isMine) {
+    if (isOwn) {
         entry.state = State::Held;
         return Reserved {request};
     }
@@ -181,14 +183,14 @@
                             state == "running" && turn.members.mayLive(owner)};
 }
 
-void Reservations::endAnswered(Turn &turn, RequestNumber request, Entry &entry,
-                               const StoreAnswered &answer)
+void Reservations::handleEndAnswer(Turn &turn, RequestNumber request, Entry &entry,
+                                   const StoreAnswered &answer)
 {
-    if (std::holds_alternative<StoreResult>(answer.outcome) || ++entry.tries > MostEndTries) {
+    if (std::holds_alternative<StoreResult>(answer.outcome) || ++entry.attempts > MaxEndTries) {
         m_entries.erase(request);
         return;
     }
-    m_timers.set(request, turn.now + turn.jittered(EndRetryAfter));
+    m_timers.set(request, turn.now + turn.jittered(EndRetryDelay));
 }
 
 } // namespace indigoway
--- a/src/requests/reservations.h
+++ b/src/requests/reservations.h
@@ -16,21 +16,21 @@
 
 class Turn;
 
-/** The request may be dispatched: no other attempt with its key ever was or will be. */
+/** The request may be dispatched; no other request with its key has been or will be. */
 struct Reserved
 {
     RequestNumber request;
 };
 
-/** Another request with the same key was here first. */
+/** An earlier request holds the same key. */
 struct ReservedByOther
 {
     RequestNumber request;
-    bool isDone = false; ///< It was executed and answered whole.
-    bool mayRun = false; ///< Its node lives; it may still be running.
+    bool isDone = false; ///< It was executed and answered completely.
+    bool mayRun = false; ///< Its node may be alive and still running it.
 };
 
-/** The store is away; nothing was dispatched. */
+/** The store is unavailable; the request must not be dispatched. */
 struct ReservationUnavailable
 {
     RequestNumber request;
@@ -38,31 +38,34 @@
 
 using ReservationResult = std::variant<Reserved, ReservedByOther, ReservationUnavailable>;
 
-/** How a reserved request ended. */
+/** The outcome of a reserved request. */
 enum class ReservationEnd {
     Done,
-    NotExecuted, ///< Certainly not: the key is free again.
+    NotExecuted, ///< The key can be reserved again.
     InDoubt,
 };
 
 /**
- * At most once for requests that may not be repeated: before anything is dispatched, a key
- * derived from the caller's idempotency key is created in the store by compare-and-swap. Whoever
- * finds the key there does not dispatch. When the store is away nothing is dispatched either.
+ * Ensures at-most-once execution of requests that are not repeatable. Before a request is
+ * dispatched, a key derived from the caller's idempotency key is created in the store by
+ * compare-and-swap. The request is not dispatched if the key exists or the store is unavailable.
  */
 class Reservations
 {
 public:
     void reserve(Turn &turn, RequestNumber request, const std::string &key);
-    /** Records the end; repeated until the store has it. Ignores requests without reservation. */
-    void end(Turn &turn, RequestNumber request, ReservationEnd how);
-    /** The caller gave up before the answer: nothing was dispatched, the key is freed. */
+    /**
+     * Records the outcome in the store and retries until it is stored. Ignores requests without
+     * a reservation.
+     */
+    void end(Turn &turn, RequestNumber request, ReservationEnd outcome);
+    /** Frees the key of a request that was not dispatched. */
     void abandon(Turn &turn, RequestNumber request)
     {
         end(turn, request, ReservationEnd::NotExecuted);
     }
 
-    /** Nothing if the call is not this subsystem's, or there is no news for a request. */
+    /** Returns a result if @p answer settles a reservation. */
     std::optional<ReservationResult> handleAnswer(Turn &turn, const StoreAnswered &answer);
     std::vector<ReservationResult> runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
@@ -80,23 +83,24 @@
         std::string storeKey;
         State state = State::NeedsLease;
         StoreCallNumber call;
-        int tries = 0;
-        ReservationEnd how = ReservationEnd::InDoubt;
+        int attempts = 0;
+        ReservationEnd outcome = ReservationEnd::InDoubt;
     };
 
     void sendReserve(Turn &turn, RequestNumber request, Entry &entry);
     void sendEnd(Turn &turn, RequestNumber request, Entry &entry);
-    void askForLease(Turn &turn);
-    std::string record(const Turn &turn, RequestNumber request, const char *state) const;
-    std::optional<ReservationResult> reserveAnswered(Turn &turn, RequestNumber request,
-                                                     Entry &entry, const StoreAnswered &answer);
-    void endAnswered(Turn &turn, RequestNumber request, Entry &entry, const StoreAnswered &answer);
+    void requestLease(Turn &turn);
+    std::string recordText(const Turn &turn, RequestNumber request, const char *state) const;
+    std::optional<ReservationResult> handleReserveAnswer(Turn &turn, RequestNumber request,
+                                                         Entry &entry, const StoreAnswered &answer);
+    void handleEndAnswer(Turn &turn, RequestNumber request, Entry &entry,
+                         const StoreAnswered &answer);
 
     std::map<RequestNumber, Entry> m_entries;
     std::map<StoreCallNumber, RequestNumber> m_calls;
     Deadlines<RequestNumber> m_timers;
     std::int64_t m_lease = 0;
-    TimePoint m_leaseSince {};
+    TimePoint m_leaseGrantedAt {};
     StoreCallNumber m_leaseCall;
 };
 
--- a/src/requests/retrybudget.h
+++ b/src/requests/retrybudget.h
@@ -5,15 +5,15 @@
 namespace indigoway {
 
 /**
- * Bounds retries to a share of the arrivals, so that a pool that fails for everybody is not
- * given several times its load on top.
+ * Limits retries to a fixed share of the arriving requests, so that retries do not multiply the
+ * load on a failing pool.
  */
 class RetryBudget
 {
 public:
-    void requestArrived() { m_tokens = std::min(m_tokens + PerRequest, Most); }
-    /** Takes one retry; false if there is none left. */
-    bool take()
+    void requestArrived() { m_tokens = std::min(m_tokens + TokensPerRequest, MaxTokens); }
+    /** Consumes the tokens of one retry; returns false if there are too few. */
+    bool tryConsume()
     {
         if (m_tokens < 1) {
             return false;
@@ -23,9 +23,9 @@
     }
 
 private:
-    static constexpr double PerRequest = 0.2;
-    static constexpr double Most = 50;
-    double m_tokens = Most;
+    static constexpr double TokensPerRequest = 0.2;
+    static constexpr double MaxTokens = 50;
+    double m_tokens = MaxTokens;
 };
 
 } // namespace indigoway
