--- a/tests/placement/cellschedulertest.cpp
+++ b/tests/placement/cellschedulertest.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-/** A cell of two prefill and one decode server of 4 slots, or more, and a hand on its scheduler. */
-class Bench
+/** Runs the scheduler of a cell with two prefill servers and one decode server of 4 slots. */
+class SchedulerFixture
 {
 public:
-    explicit Bench(const std::string &more = "")
+    /** @param moreServers further server declarations, appended to the deployment's text */
+    explicit SchedulerFixture(const std::string &moreServers = "")
     {
         m_deployment = std::get<Deployment>(applyText(
             {},
@@ -28,18 +29,18 @@
             "server p0 pool prefill address 10.0.0.1:1\n"
             "server p1 pool prefill address 10.0.0.1:2\n"
             "server d0 pool decode address 10.0.0.1:3 slots 4\n"
-                + more));
+                + moreServers));
         m_cells = CellMap(m_deployment);
         MemberUpdate self;
         self.life = {NodeName("n"), Incarnation(1)};
         m_members.emplace(self);
-        act([this](Turn &turn) { m_scheduler.emplace(Cell {TargetName("m"), 0}, turn); });
-        m_now += 1s; // Settled.
+        runTurn([this](Turn &turn) { m_scheduler.emplace(Cell {TargetName("m"), 0}, turn); });
+        m_now += 1s; // Past the scheduler's settling time.
     }
 
-    /** Runs @p action in a turn of its own; its replies are kept. */
+    /** Runs @p action in a new turn and stores its replies. */
     template <typename Action>
-    void act(Action action)
+    void runTurn(Action action)
     {
         Effects effects;
         Turn turn(m_now, 1, m_deployment, m_cells, *m_members, m_numbers, effects);
@@ -47,7 +48,7 @@
         for (const Effect &effect : effects) {
             if (const auto *reply = std::get_if<ReplyToPeer>(&effect)) {
                 m_replies[reply->number] = reply->reply;
-                m_order.push_back(reply->number);
+                m_replyOrder.push_back(reply->number);
             }
         }
     }
@@ -65,7 +66,7 @@
         wanted.untilDeadline = untilDeadline;
         wanted.patience = 1min;
         wanted.prefixHashes = prefix;
-        act([&](Turn &turn) { m_scheduler->claim(turn, number, wanted); });
+        runTurn([&](Turn &turn) { m_scheduler->handleClaim(turn, number, wanted); });
         return number;
     }
 
@@ -75,12 +76,13 @@
         return it == m_replies.end() ? nullptr : std::get_if<Granted>(&it->second);
     }
 
-    /** The decode server that was chosen. */
+    /** Reports a successful prefill. @return the assigned decode server, or empty if refused */
     std::string prefillEnded(PeerRequestNumber claimed, Duration elapsed)
     {
         const PeerRequestNumber number(++m_lastNumber);
-        act([&](Turn &turn) {
-            m_scheduler->prefillEnded(turn, number, {granted(claimed)->claim, true, elapsed, {}});
+        runTurn([&](Turn &turn) {
+            m_scheduler->handlePrefillEnded(turn, number,
+                                            {granted(claimed)->claim, true, elapsed, {}});
         });
         const auto *assigned = std::get_if<DecodeAssigned>(&m_replies.at(number));
         return assigned ? assigned->server.text() : "";
@@ -93,13 +95,13 @@
         message.claim = granted(claimed)->claim;
         message.tokens = tokens;
         message.decodeTime = decodeTime;
-        act([&](Turn &turn) { m_scheduler->release(turn, number, message); });
+        runTurn([&](Turn &turn) { m_scheduler->handleRelease(turn, number, message); });
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         m_now += time;
-        act([this](Turn &turn) { m_scheduler->pump(turn); });
+        runTurn([this](Turn &turn) { m_scheduler->processQueue(turn); });
     }
 
     CellScheduler &scheduler() { return *m_scheduler; }
@@ -113,7 +115,7 @@
     TimePoint m_now {1h};
     std::optional<CellScheduler> m_scheduler;
     std::map<PeerRequestNumber, PeerReply> m_replies;
-    std::vector<PeerRequestNumber> m_order;
+    std::vector<PeerRequestNumber> m_replyOrder;
     std::uint64_t m_lastNumber = 0;
 };
 
@@ -123,167 +125,166 @@
 {
     CPPUNIT_TEST_SUITE(CellSchedulerTest);
     CPPUNIT_TEST(startsNoPrefillWithoutADecodeSlot);
-    CPPUNIT_TEST(knowsARepeatedClaim);
-    CPPUNIT_TEST(keepsAPrefillServerFromChapters);
+    CPPUNIT_TEST(answersARepeatedClaimWithTheSameGrant);
+    CPPUNIT_TEST(keepsAPrefillServerForShortPrompts);
     CPPUNIT_TEST(servesTheEarlierDeadlineFirst);
     CPPUNIT_TEST(lateClaimsAreNotStarved);
-    CPPUNIT_TEST(withdrawnClaimsLeaveNothing);
+    CPPUNIT_TEST(withdrawalFreesTheGrant);
     CPPUNIT_TEST(prefersTheServerThatHasThePrefix);
-    CPPUNIT_TEST(leavesABusyLinkAlone);
-    CPPUNIT_TEST(leavesASlowServerAndTriesItAgain);
+    CPPUNIT_TEST(avoidsAServerWithABusyLink);
+    CPPUNIT_TEST(avoidsASlowServerAndTriesItAgain);
     CPPUNIT_TEST_SUITE_END();
 
-    // Five claims for four slots. A fifth prefill would have nowhere to go within the second that
-    // its result is kept, and would be wasted.
+    // Guards against prefills without a decode slot, whose results would expire unused.
     void startsNoPrefillWithoutADecodeSlot()
     {
-        Bench bench;
+        SchedulerFixture fixture;
         std::vector<PeerRequestNumber> claims;
         for (std::uint64_t i = 1; i <= 5; ++i) {
-            claims.push_back(bench.claim(i, 10, 5s));
+            claims.push_back(fixture.claim(i, 10, 5s));
         }
-        CPPUNIT_ASSERT(bench.granted(claims[3]));
-        CPPUNIT_ASSERT(!bench.granted(claims[4]));
-        bench.prefillEnded(claims[0], 10ms);
-        CPPUNIT_ASSERT_MESSAGE("it only moved to its decode slot", !bench.granted(claims[4]));
-        bench.release(claims[0]);
-        CPPUNIT_ASSERT(bench.granted(claims[4]));
+        CPPUNIT_ASSERT(fixture.granted(claims[3]));
+        CPPUNIT_ASSERT(!fixture.granted(claims[4]));
+        fixture.prefillEnded(claims[0], 10ms);
+        CPPUNIT_ASSERT_MESSAGE("the claim moved to its decode slot without freeing it",
+                               !fixture.granted(claims[4]));
+        fixture.release(claims[0]);
+        CPPUNIT_ASSERT(fixture.granted(claims[4]));
     }
 
-    // The grant's answer is lost and the node asks again. Granting anew would hold a slot and a
-    // prefill server for nobody.
-    void knowsARepeatedClaim()
+    // Guards against a leaked grant when the answer to a claim is lost and the claim is repeated.
+    void answersARepeatedClaimWithTheSameGrant()
     {
-        Bench bench;
-        const PeerRequestNumber first = bench.claim(1, 10, 5s);
-        const PeerRequestNumber again = bench.claim(1, 10, 5s);
-        CPPUNIT_ASSERT(bench.granted(first) && bench.granted(again));
-        CPPUNIT_ASSERT(bench.granted(first)->claim == bench.granted(again)->claim);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, bench.grants());
+        SchedulerFixture fixture;
+        const PeerRequestNumber first = fixture.claim(1, 10, 5s);
+        const PeerRequestNumber again = fixture.claim(1, 10, 5s);
+        CPPUNIT_ASSERT(fixture.granted(first) && fixture.granted(again));
+        CPPUNIT_ASSERT(fixture.granted(first)->claim == fixture.granted(again)->claim);
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, fixture.grants());
     }
 
-    // Two chapters of seconds each come first, then a lookup. With both prefill servers at a
-    // chapter the lookup would miss its target, whatever its place in the queue.
-    void keepsAPrefillServerFromChapters()
+    // Guards against long prompts on all prefill servers, behind which a short prompt would miss
+    // its target.
+    void keepsAPrefillServerForShortPrompts()
     {
-        Bench bench;
-        bench.claim(1, 10, 500ms); // Tells the cell that there are short targets.
-        const PeerRequestNumber chapter = bench.claim(2, 30'000, 20s);
-        const PeerRequestNumber second = bench.claim(3, 30'000, 20s);
-        const PeerRequestNumber lookup = bench.claim(4, 100, 500ms);
-        CPPUNIT_ASSERT(bench.granted(chapter));
-        CPPUNIT_ASSERT(!bench.granted(second));
-        CPPUNIT_ASSERT(bench.granted(lookup));
-        CPPUNIT_ASSERT(bench.granted(lookup)->server != bench.granted(chapter)->server);
+        SchedulerFixture fixture;
+        fixture.claim(1, 10, 500ms); // Makes the scheduler reserve for short targets.
+        const PeerRequestNumber longPrompt = fixture.claim(2, 30'000, 20s);
+        const PeerRequestNumber second = fixture.claim(3, 30'000, 20s);
+        const PeerRequestNumber shortPrompt = fixture.claim(4, 100, 500ms);
+        CPPUNIT_ASSERT(fixture.granted(longPrompt));
+        CPPUNIT_ASSERT(!fixture.granted(second));
+        CPPUNIT_ASSERT(fixture.granted(shortPrompt));
+        CPPUNIT_ASSERT(fixture.granted(shortPrompt)->server != fixture.granted(longPrompt)->server);
     }
 
     void servesTheEarlierDeadlineFirst()
     {
-        Bench bench;
+        SchedulerFixture fixture;
         std::vector<PeerRequestNumber> running;
         for (std::uint64_t i = 1; i <= 4; ++i) {
-            running.push_back(bench.claim(i, 10, 5s));
+            running.push_back(fixture.claim(i, 10, 5s));
         }
-        const PeerRequestNumber later = bench.claim(5, 10, 9s);
-        const PeerRequestNumber sooner = bench.claim(6, 10, 3s);
-        bench.release(running[0]);
-        CPPUNIT_ASSERT(bench.granted(sooner));
-        CPPUNIT_ASSERT(!bench.granted(later));
+        const PeerRequestNumber later = fixture.claim(5, 10, 9s);
+        const PeerRequestNumber sooner = fixture.claim(6, 10, 3s);
+        fixture.release(running[0]);
+        CPPUNIT_ASSERT(fixture.granted(sooner));
+        CPPUNIT_ASSERT(!fixture.granted(later));
     }
 
-    // A backlog of claims that missed their target waits behind a steady stream of claims that can
-    // still meet theirs. A share of the grants goes to the oldest of them all the same.
+    // Guards against starvation of late claims by a steady stream of claims that can still meet
+    // their target.
     void lateClaimsAreNotStarved()
     {
-        Bench bench;
+        SchedulerFixture fixture;
         std::vector<PeerRequestNumber> running;
         std::uint64_t request = 0;
         for (int i = 0; i < 4; ++i) {
-            running.push_back(bench.claim(++request, 10, 5s));
+            running.push_back(fixture.claim(++request, 10, 5s));
         }
-        const PeerRequestNumber late = bench.claim(++request, 10, 1ms);
-        bench.pass(10ms);
+        const PeerRequestNumber late = fixture.claim(++request, 10, 1ms);
+        fixture.advance(10ms);
         std::size_t served = 0;
-        for (; served < 20 && !bench.granted(late); ++served) {
-            const PeerRequestNumber next = bench.claim(++request, 10, 5s);
-            bench.release(running.at(served % 4));
-            if (bench.granted(next)) {
+        for (; served < 20 && !fixture.granted(late); ++served) {
+            const PeerRequestNumber next = fixture.claim(++request, 10, 5s);
+            fixture.release(running.at(served % 4));
+            if (fixture.granted(next)) {
                 running.at(served % 4) = next;
             }
         }
-        CPPUNIT_ASSERT(bench.granted(late));
+        CPPUNIT_ASSERT(fixture.granted(late));
         CPPUNIT_ASSERT(served <= 8);
     }
 
-    void withdrawnClaimsLeaveNothing()
+    void withdrawalFreesTheGrant()
     {
-        Bench bench;
-        bench.claim(1, 10, 5s);
+        SchedulerFixture fixture;
+        fixture.claim(1, 10, 5s);
         const ClaimIdentity identity {{NodeName("n"), Incarnation(1)}, RequestNumber(1), 1};
-        bench.act([&](Turn &turn) { bench.scheduler().withdraw(turn, identity); });
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, bench.grants());
+        fixture.runTurn([&](Turn &turn) { fixture.scheduler().withdraw(turn, identity); });
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, fixture.grants());
         for (std::uint64_t i = 2; i <= 5; ++i) {
-            CPPUNIT_ASSERT(bench.granted(bench.claim(i, 10, 5s)));
+            CPPUNIT_ASSERT(fixture.granted(fixture.claim(i, 10, 5s)));
         }
     }
 
-    // Two chapters of one book have their first pages in common. The second goes to the engine that
-    // has them cached, until a cache event, however late, says that they were dropped.
+    // Prompts with a common prefix go to the server that has it cached, until a cache event reports
+    // its removal.
     void prefersTheServerThatHasThePrefix()
     {
-        Bench bench;
-        const std::vector<std::uint64_t> book {11, 12, 13};
-        bench.scheduler().cacheEvents({ServerName("p1"), book, {}});
-        const PeerRequestNumber first = bench.claim(1, 1500, 5s, book);
-        CPPUNIT_ASSERT_EQUAL(std::string("p1"), bench.granted(first)->server.text());
-        bench.prefillEnded(first, 50ms);
-        const PeerRequestNumber second = bench.claim(2, 1500, 5s, book);
-        CPPUNIT_ASSERT_EQUAL(std::string("p1"), bench.granted(second)->server.text());
-        bench.prefillEnded(second, 50ms);
-        bench.scheduler().cacheEvents({ServerName("p1"), {}, book});
-        const PeerRequestNumber third = bench.claim(3, 1500, 5s, book);
-        CPPUNIT_ASSERT_EQUAL(std::string("p0"), bench.granted(third)->server.text());
+        SchedulerFixture fixture;
+        const std::vector<std::uint64_t> prefixHashes {11, 12, 13};
+        fixture.scheduler().handleCacheEvents({ServerName("p1"), prefixHashes, {}});
+        const PeerRequestNumber first = fixture.claim(1, 1500, 5s, prefixHashes);
+        CPPUNIT_ASSERT_EQUAL(std::string("p1"), fixture.granted(first)->server.text());
+        fixture.prefillEnded(first, 50ms);
+        const PeerRequestNumber second = fixture.claim(2, 1500, 5s, prefixHashes);
+        CPPUNIT_ASSERT_EQUAL(std::string("p1"), fixture.granted(second)->server.text());
+        fixture.prefillEnded(second, 50ms);
+        fixture.scheduler().handleCacheEvents({ServerName("p1"), {}, prefixHashes});
+        const PeerRequestNumber third = fixture.claim(3, 1500, 5s, prefixHashes);
+        CPPUNIT_ASSERT_EQUAL(std::string("p0"), fixture.granted(third)->server.text());
     }
 
-    // A chapter's KV cache takes ten seconds of an engine's link. A lookup sent there would wait
-    // for it, although the engine has nothing else to do.
-    void leavesABusyLinkAlone()
+    // Guards against choosing a decode server with free slots whose link is busy with a KV transfer
+    // of ten seconds.
+    void avoidsAServerWithABusyLink()
     {
-        Bench bench("server d1 pool decode address 10.0.0.1:4 slots 4\n");
-        const PeerRequestNumber chapter = bench.claim(1, 10'000, 20s);
-        const std::string busy = bench.prefillEnded(chapter, 1s);
-        bench.release(chapter);
-        const PeerRequestNumber lookup = bench.claim(2, 10, 5s);
-        CPPUNIT_ASSERT(bench.prefillEnded(lookup, 1ms) != busy);
-        bench.release(lookup);
-        bench.pass(20s);
-        const PeerRequestNumber later = bench.claim(3, 10, 5s);
-        CPPUNIT_ASSERT_EQUAL(busy, bench.prefillEnded(later, 1ms));
+        SchedulerFixture fixture("server d1 pool decode address 10.0.0.1:4 slots 4\n");
+        const PeerRequestNumber longPrompt = fixture.claim(1, 10'000, 20s);
+        const std::string busy = fixture.prefillEnded(longPrompt, 1s);
+        fixture.release(longPrompt);
+        const PeerRequestNumber shortPrompt = fixture.claim(2, 10, 5s);
+        CPPUNIT_ASSERT(fixture.prefillEnded(shortPrompt, 1ms) != busy);
+        fixture.release(shortPrompt);
+        fixture.advance(20s);
+        const PeerRequestNumber later = fixture.claim(3, 10, 5s);
+        CPPUNIT_ASSERT_EQUAL(busy, fixture.prefillEnded(later, 1ms));
     }
 
-    // An engine takes a second for a token where 200 ms are the target. It gets nothing more while
-    // that is fresh; later it gets one request, which tells how it is now.
-    void leavesASlowServerAndTriesItAgain()
+    // A server with a token time of 1 s at a target of 200 ms gets no requests until the
+    // observation has aged, then one trial request.
+    void avoidsASlowServerAndTriesItAgain()
     {
-        Bench bench("server d1 pool decode address 10.0.0.1:4 slots 4\n");
-        const PeerRequestNumber healthy = bench.claim(1, 10, 5s);
-        const std::string well = bench.prefillEnded(healthy, 1ms);
-        const PeerRequestNumber other = bench.claim(2, 10, 5s);
-        const std::string slow = bench.prefillEnded(other, 1ms);
-        CPPUNIT_ASSERT(well != slow);
-        bench.release(healthy, 101, 2s);
-        bench.release(other, 11, 10s);
+        SchedulerFixture fixture("server d1 pool decode address 10.0.0.1:4 slots 4\n");
+        const PeerRequestNumber fastClaim = fixture.claim(1, 10, 5s);
+        const std::string fast = fixture.prefillEnded(fastClaim, 1ms);
+        const PeerRequestNumber slowClaim = fixture.claim(2, 10, 5s);
+        const std::string slow = fixture.prefillEnded(slowClaim, 1ms);
+        CPPUNIT_ASSERT(fast != slow);
+        fixture.release(fastClaim, 101, 2s);
+        fixture.release(slowClaim, 11, 10s);
         std::vector<PeerRequestNumber> claims;
         for (std::uint64_t i = 3; i <= 6; ++i) {
-            claims.push_back(bench.claim(i, 10, 5s));
-            CPPUNIT_ASSERT_EQUAL(well, bench.prefillEnded(claims.back(), 1ms));
+            claims.push_back(fixture.claim(i, 10, 5s));
+            CPPUNIT_ASSERT_EQUAL(fast, fixture.prefillEnded(claims.back(), 1ms));
         }
-        const PeerRequestNumber fifth = bench.claim(7, 10, 60s);
-        CPPUNIT_ASSERT(!bench.granted(fifth));
-        bench.pass(40s);
-        CPPUNIT_ASSERT(bench.granted(fifth));
-        CPPUNIT_ASSERT_EQUAL(slow, bench.prefillEnded(fifth, 1ms));
-        CPPUNIT_ASSERT(!bench.granted(bench.claim(8, 10, 60s)));
+        const PeerRequestNumber fifth = fixture.claim(7, 10, 60s);
+        CPPUNIT_ASSERT(!fixture.granted(fifth));
+        fixture.advance(40s);
+        CPPUNIT_ASSERT(fixture.granted(fifth));
+        CPPUNIT_ASSERT_EQUAL(slow, fixture.prefillEnded(fifth, 1ms));
+        CPPUNIT_ASSERT(!fixture.granted(fixture.claim(8, 10, 60s)));
     }
 };
 
