--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -128,46 +128,46 @@
                                 Execution::NotExecuted, std::chrono::seconds(1)});
         return;
     }
-    m_requests.arrived(turn, event);
+    m_requests.handleArrival(turn, event);
 }
 
 void Node::handle(Turn &turn, const CallerGone &event)
 {
-    m_requests.callerGone(turn, event);
+    m_requests.handleCallerGone(turn, event);
 }
 
 void Node::handle(Turn &turn, const PrefillFinished &event)
 {
-    m_requests.prefillFinished(turn, event);
+    m_requests.handlePrefillFinished(turn, event);
 }
 
 void Node::handle(Turn &turn, const TokensArrived &event)
 {
-    m_requests.tokensArrived(turn, event);
+    m_requests.handleTokens(turn, event);
 }
 
 void Node::handle(Turn &turn, const DecodeFinished &event)
 {
-    m_requests.decodeFinished(turn, event);
+    m_requests.handleDecodeFinished(turn, event);
 }
 
 void Node::handle(Turn &turn, const ServiceFinished &event)
 {
-    m_requests.serviceFinished(turn, event);
+    m_requests.handleServiceFinished(turn, event);
 }
 
 void Node::handle(Turn &turn, const CancelFinished &event)
 {
-    m_requests.cancelFinished(turn, event);
+    m_requests.handleCancelFinished(turn, event);
 }
 
 void Node::handle(Turn &turn, const ReportArrived &event)
 {
     m_scheduler.handleReport(turn, event);
-    m_requests.report(event);
-    m_orders.report(event);
+    m_requests.handleReport(event);
+    m_orders.handleReport(event);
     if (event.isOk && !event.requests.empty()) {
-        m_reclaimer.report(turn, event, m_requests, m_registry);
+        m_reclaimer.handleReport(turn, event, m_requests, m_registry);
     }
 }
 
@@ -178,7 +178,7 @@
 
 void Node::handle(Turn &turn, const OrderFinished &event)
 {
-    m_orders.finished(turn, event);
+    m_orders.handleOrderFinished(turn, event);
 }
 
 void Node::handle(Turn &turn, const PeerRequestArrived &event)
@@ -290,15 +290,15 @@
     if (hasConfigurationChanged || m_membersSeen != m_membership.changes()) {
         m_membersSeen = m_membership.changes();
         m_scheduler.reassign(turn);
-        m_requests.membersChanged(turn);
+        m_requests.handleMembersChanged(turn);
     }
     if (hasConfigurationChanged) {
-        m_requests.configurationChanged(turn);
+        m_requests.handleConfigurationChanged(turn);
     }
     for (const NodeName &silent : m_membership.takeSilent()) {
-        m_requests.schedulerSilent(turn, silent);
+        m_requests.handleSilentScheduler(turn, silent);
     }
-    for (const NodeName &doubted : m_requests.takeDoubted()) {
+    for (const NodeName &doubted : m_requests.takeSchedulersToProbe()) {
         m_membership.probe(turn, doubted);
     }
     checkShutdown(turn);
--- a/src/orders/orders.cpp
+++ b/src/orders/orders.cpp
@@ -23,14 +23,14 @@
 
 } // namespace
 
-void Orders::report(const ReportArrived &report)
+void Orders::handleReport(const ReportArrived &report)
 {
     if (report.isOk && !report.version.empty()) {
         m_reportedVersions[report.server] = report.version;
     }
 }
 
-void Orders::finished(Turn &turn, const OrderFinished &event)
+void Orders::handleOrderFinished(Turn &turn, const OrderFinished &event)
 {
     if (!event.isAccepted) {
         m_issuedAt.erase(event.server);
--- a/src/orders/orders.h
+++ b/src/orders/orders.h
@@ -43,8 +43,8 @@
     static constexpr Duration OrderTimeout = std::chrono::seconds(2);
 
     /** Records the model version that a server reports. */
-    void report(const ReportArrived &report);
-    void finished(Turn &turn, const OrderFinished &event);
+    void handleReport(const ReportArrived &report);
+    void handleOrderFinished(Turn &turn, const OrderFinished &event);
     /** Handles an answer of the store. @return whether the call was made by this class */
     bool storeAnswered(Turn &turn, const StoreAnswered &answer);
     void runDue(Turn &turn, const Scheduler &scheduler);
--- a/src/requests/reclaimer.cpp
+++ b/src/requests/reclaimer.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-void Reclaimer::report(Turn &turn, const ReportArrived &report, Requests &requests,
-                       const Registry &registry)
+void Reclaimer::handleReport(Turn &turn, const ReportArrived &report, Requests &requests,
+                             const Registry &registry)
 {
     std::map<EngineRequestName, ListedRequest> &previous = m_listedRequests[report.server];
     std::map<EngineRequestName, ListedRequest> current;
--- a/src/requests/reclaimer.h
+++ b/src/requests/reclaimer.h
@@ -23,8 +23,8 @@
 class Reclaimer
 {
 public:
-    void report(Turn &turn, const ReportArrived &report, Requests &requests,
-                const Registry &registry);
+    void handleReport(Turn &turn, const ReportArrived &report, Requests &requests,
+                      const Registry &registry);
     /** Handles the answer to an ownership query. @return whether @p call was made by this class */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome,
                       Requests &requests);
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -52,7 +52,7 @@
     , m_localPlacement(policy)
 { }
 
-void Requests::arrived(Turn &turn, const RequestArrived &event)
+void Requests::handleArrival(Turn &turn, const RequestArrived &event)
 {
     turn.count(Counter::RequestsArrived);
     m_retryBudget.requestArrived();
@@ -98,7 +98,7 @@
     m_reservations.reserve(turn, number, event.spec.idempotencyKey);
 }
 
-void Requests::callerGone(Turn &turn, const CallerGone &event)
+void Requests::handleCallerGone(Turn &turn, const CallerGone &event)
 {
     const auto it = m_requests.find(event.request);
     if (it == m_requests.end()) {
@@ -112,7 +112,7 @@
     m_requests.erase(it);
 }
 
-void Requests::prefillFinished(Turn &turn, const PrefillFinished &event)
+void Requests::handlePrefillFinished(Turn &turn, const PrefillFinished &event)
 {
     RequestNumber number;
     Request *request = requestOf(event.call, &number);
@@ -151,7 +151,7 @@
     startDecode(turn, number, *request);
 }
 
-void Requests::tokensArrived(Turn &turn, const TokensArrived &event)
+void Requests::handleTokens(Turn &turn, const TokensArrived &event)
 {
     RequestNumber number;
     Request *request = requestOf(event.call, &number);
@@ -181,7 +181,7 @@
     turn.add(RelayTokens {number, event.count});
 }
 
-void Requests::decodeFinished(Turn &turn, const DecodeFinished &event)
+void Requests::handleDecodeFinished(Turn &turn, const DecodeFinished &event)
 {
     RequestNumber number;
     Request *request = requestOf(event.call, &number);
@@ -198,7 +198,7 @@
     handleDecodeFailure(turn, number, event.outcome);
 }
 
-void Requests::serviceFinished(Turn &turn, const ServiceFinished &event)
+void Requests::handleServiceFinished(Turn &turn, const ServiceFinished &event)
 {
     RequestNumber number;
     Request *request = requestOf(event.call, &number);
@@ -222,7 +222,7 @@
     retryOrRefuse(turn, number, failed, isCertainlyNotExecuted(event.outcome));
 }
 
-void Requests::cancelFinished(Turn &turn, const CancelFinished &event)
+void Requests::handleCancelFinished(Turn &turn, const CancelFinished &event)
 {
     m_cancels.handleFinished(turn, event);
 }
@@ -243,21 +243,21 @@
     }
 }
 
-void Requests::membersChanged(Turn &turn)
+void Requests::handleMembersChanged(Turn &turn)
 {
     for (const ClaimResult &result : m_claims.handleMembersChanged(turn)) {
         handleResult(turn, result);
     }
 }
 
-void Requests::schedulerSilent(Turn &turn, const NodeName &node)
+void Requests::handleSilentScheduler(Turn &turn, const NodeName &node)
 {
     for (const ClaimResult &result : m_claims.handleSilentScheduler(turn, node)) {
         handleResult(turn, result);
     }
 }
 
-void Requests::configurationChanged(Turn &turn)
+void Requests::handleConfigurationChanged(Turn &turn)
 {
     std::vector<RequestNumber> stopped;
     for (const auto &[number, request] : m_requests) {
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -68,20 +68,20 @@
 public:
     Requests(PlacementMode mode, LocalPolicy policy, RequestLimits limits);
 
-    void arrived(Turn &turn, const RequestArrived &event);
-    void callerGone(Turn &turn, const CallerGone &event);
-    void prefillFinished(Turn &turn, const PrefillFinished &event);
-    void tokensArrived(Turn &turn, const TokensArrived &event);
-    void decodeFinished(Turn &turn, const DecodeFinished &event);
-    void serviceFinished(Turn &turn, const ServiceFinished &event);
-    void cancelFinished(Turn &turn, const CancelFinished &event);
-    void report(const ReportArrived &event) { m_localPlacement.applyReport(event); }
+    void handleArrival(Turn &turn, const RequestArrived &event);
+    void handleCallerGone(Turn &turn, const CallerGone &event);
+    void handlePrefillFinished(Turn &turn, const PrefillFinished &event);
+    void handleTokens(Turn &turn, const TokensArrived &event);
+    void handleDecodeFinished(Turn &turn, const DecodeFinished &event);
+    void handleServiceFinished(Turn &turn, const ServiceFinished &event);
+    void handleCancelFinished(Turn &turn, const CancelFinished &event);
+    void handleReport(const ReportArrived &event) { m_localPlacement.applyReport(event); }
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     void storeAnswered(Turn &turn, const StoreAnswered &answer);
-    void membersChanged(Turn &turn);
-    void schedulerSilent(Turn &turn, const NodeName &node);
+    void handleMembersChanged(Turn &turn);
+    void handleSilentScheduler(Turn &turn, const NodeName &node);
     /** Cancels and retries the requests on servers that operators have stopped or removed. */
-    void configurationChanged(Turn &turn);
+    void handleConfigurationChanged(Turn &turn);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const;
 
@@ -95,7 +95,7 @@
     /** Returns the number of requests, cancels and reservations that must end before shutdown. */
     std::size_t unfinished() const;
     std::vector<RequestView> views(TimePoint now) const;
-    std::set<NodeName> takeDoubted() { return m_claims.takeSchedulersToProbe(); }
+    std::set<NodeName> takeSchedulersToProbe() { return m_claims.takeSchedulersToProbe(); }
 
 private:
     struct Request
