--- a/src/core/nodetables.cpp
+++ b/src/core/nodetables.cpp
@@ -128,11 +128,11 @@
     m_queries.add("orders",
                   {[this](const Turn &turn) {
                        Table table {{"target", "cell", "holder", "fence", "safe-for-ms"}, {}};
-                       for (const OrderHoldView &hold : m_orders.holds(turn.now)) {
+                       for (const OrderLockView &lock : m_orders.locks(turn.now)) {
                            table.rows.push_back(
-                               {hold.cell.target.text(), std::to_string(hold.cell.number),
-                                m_settings.life.node.text(), std::to_string(hold.fence),
-                                milliseconds(hold.safeFor)});
+                               {lock.cell.target.text(), std::to_string(lock.cell.number),
+                                m_settings.life.node.text(), std::to_string(lock.fence),
+                                milliseconds(lock.safeFor)});
                        }
                        return table;
                    },
--- a/src/orders/orders.cpp
+++ b/src/orders/orders.cpp
@@ -104,9 +104,9 @@
     m_timers.set(Timer::KeepAlive, turn.now + KeepAliveInterval);
 }
 
-std::vector<OrderHoldView> Orders::holds(TimePoint now) const
+std::vector<OrderLockView> Orders::locks(TimePoint now) const
 {
-    std::vector<OrderHoldView> views;
+    std::vector<OrderLockView> views;
     for (const auto &[cell, lock] : m_locks) {
         if (lock.state == State::Held) {
             views.push_back(
--- a/src/orders/orders.h
+++ b/src/orders/orders.h
@@ -17,7 +17,7 @@
 class Turn;
 
 /** The lock under which this node issues a cell's orders, as shown to operators. */
-struct OrderHoldView
+struct OrderLockView
 {
     Cell cell;
     std::uint64_t fence = 0;
@@ -50,7 +50,7 @@
     void runDue(Turn &turn, const Scheduler &scheduler);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
     void start(Turn &turn);
-    std::vector<OrderHoldView> holds(TimePoint now) const;
+    std::vector<OrderLockView> locks(TimePoint now) const;
 
 private:
     enum class State {
