--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -186,7 +186,7 @@
         settings.nodes = policy.nodes;
         settings.mode = policy.mode;
         settings.policy = policy.local;
-        settings.reportsToAll = policy.mode == PlacementMode::Alone;
+        settings.reportsToAll = policy.mode == PlacementMode::Local;
         if (scenario == Scenario::LostMessages) {
             settings.loseMessages = 0.01;
             settings.doubleMessages = 0.01;
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -56,7 +56,7 @@
 {
     std::string name;
     std::size_t nodes = 8;
-    PlacementMode mode = PlacementMode::Granted;
+    PlacementMode mode = PlacementMode::Scheduled;
     LocalPolicy local = LocalPolicy::PowerOfTwo;
     bool seesAll = false; ///< One decider without delay or lag: the bound.
     LatePolicy late = LatePolicy::Finish;
--- a/bench/fakes/world.h
+++ b/bench/fakes/world.h
@@ -26,7 +26,7 @@
     Duration reportLag = std::chrono::milliseconds(500);
     double loseMessages = 0;   ///< Share of calls between nodes that are lost.
     double doubleMessages = 0; ///< Share of calls between nodes that arrive twice.
-    PlacementMode mode = PlacementMode::Granted;
+    PlacementMode mode = PlacementMode::Scheduled;
     LocalPolicy policy = LocalPolicy::PowerOfTwo;
     bool reportsToAll = false; ///< Every node hears every report, as the baselines need.
     Duration serviceWork = std::chrono::milliseconds(20);
--- a/bench/policy_main.cpp
+++ b/bench/policy_main.cpp
@@ -98,7 +98,7 @@
           std::pair("power-of-two", LocalPolicy::PowerOfTwo)}) {
         Policy baseline;
         baseline.name = name;
-        baseline.mode = PlacementMode::Alone;
+        baseline.mode = PlacementMode::Local;
         baseline.local = policy;
         all.push_back(baseline);
     }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -28,7 +28,7 @@
     std::string peerAddress;
     DomainName domain;
     RequestLimits limits;
-    PlacementMode mode = PlacementMode::Granted;
+    PlacementMode mode = PlacementMode::Scheduled;
     LocalPolicy policy = LocalPolicy::PowerOfTwo;
     /** Peers known without the store; they are met at the start. */
     std::vector<MemberUpdate> peers;
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -138,7 +138,7 @@
         }
         return;
     }
-    if (m_mode == PlacementMode::Alone || request->decode.isEmpty()) {
+    if (m_mode == PlacementMode::Local || request->decode.isEmpty()) {
         const auto server = chooseLocally(turn, *request, Role::Decode);
         if (!server) {
             turn.count(Counter::PrefillsWasted);
@@ -371,7 +371,7 @@
     request.attemptTokens = 0;
     request.prefill = {};
     request.decode = {};
-    request.isPlacedLocally = m_mode == PlacementMode::Alone;
+    request.isPlacedLocally = m_mode == PlacementMode::Local;
     if (request.isPlacedLocally) {
         placeLocally(turn, number, request);
         return;
@@ -513,10 +513,10 @@
     // The decode server is chosen before the prefill, within this node's quota; otherwise a
     // prefill could start without a decode slot for its result.
     std::optional<ServerName> second;
-    if (first && !isService && m_mode == PlacementMode::Granted) {
+    if (first && !isService && m_mode == PlacementMode::Scheduled) {
         second = chooseLocally(turn, request, Role::Decode);
     }
-    const bool isComplete = first && (isService || m_mode == PlacementMode::Alone || second);
+    const bool isComplete = first && (isService || m_mode == PlacementMode::Local || second);
     if (!isComplete) {
         const Target *target = turn.deployment.target(request.spec.target);
         const bool isLate = target && target->late == LatePolicy::Refuse
@@ -564,7 +564,7 @@
     if (candidates.empty()) {
         candidates = std::move(avoided);
     }
-    if (m_mode == PlacementMode::Alone) {
+    if (m_mode == PlacementMode::Local) {
         return m_localPlacement.choose(turn, candidates, 0);
     }
     const auto nodes = static_cast<std::uint32_t>(turn.members.presentCount());
@@ -865,7 +865,7 @@
 
 Duration Requests::stallLimit(const Request &request) const
 {
-    if (m_mode == PlacementMode::Alone) {
+    if (m_mode == PlacementMode::Local) {
         // Without admission control, calls also wait in the engines' own queues.
         return LocalModeStallLimit;
     }
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -49,8 +49,8 @@
 
 /** Selects who places requests on servers. */
 enum class PlacementMode {
-    Granted, ///< The cell's scheduler, or this node while the scheduler is unreachable.
-    Alone,   ///< Always this node, without quotas; used by the benchmarks' baselines.
+    Scheduled, ///< The cell's scheduler, or this node while the scheduler is unreachable.
+    Local,     ///< Always this node, without quotas; used by the benchmarks' baselines.
 };
 
 /** Limits per node. */
