--- a/src/orders/orders.cpp
+++ b/src/orders/orders.cpp
@@ -175,7 +175,8 @@
         return;
     }
     if (turn.now >= m_lockValidUntil && m_locks.empty()) {
-        m_lease = 0; // It is not extended while no lock is held; the next round requests a new one.
+        // The lease is not extended while no lock is held; the next round requests a new one.
+        m_lease = 0;
         return;
     }
     m_locks[cell] = {};
@@ -195,8 +196,8 @@
     }
     const Target &target = *turn.deployment.target(cell.target);
     for (const ServerName &name : outdatedServers(turn, cell)) {
-        const auto underway = m_issuedAt.find(name);
-        if (underway != m_issuedAt.end() && turn.now - underway->second < OrderRetryInterval) {
+        const auto issued = m_issuedAt.find(name);
+        if (issued != m_issuedAt.end() && turn.now - issued->second < OrderRetryInterval) {
             continue;
         }
         m_issuedAt[name] = turn.now;
--- a/src/placement/cells.cpp
+++ b/src/placement/cells.cpp
@@ -40,13 +40,13 @@
             continue;
         }
         const auto number =
-            static_cast<std::uint32_t>(hashOf(name.text(), 0) % count(pool->target));
+            static_cast<std::uint32_t>(hashOf(name.text(), 0) % cellCount(pool->target));
         m_cellOf[name] = {pool->target, number};
         m_servers[{m_cellOf[name], pool->role}].push_back(name);
     }
 }
 
-std::uint32_t CellMap::count(const TargetName &target) const
+std::uint32_t CellMap::cellCount(const TargetName &target) const
 {
     const auto it = m_counts.find(target);
     return it == m_counts.end() ? 1 : it->second;
--- a/src/placement/cells.h
+++ b/src/placement/cells.h
@@ -33,7 +33,7 @@
     explicit CellMap(const Deployment &deployment);
 
     /** Returns the number of cells of @p target, at least 1. */
-    std::uint32_t count(const TargetName &target) const;
+    std::uint32_t cellCount(const TargetName &target) const;
     /** Returns the cell of @p server, or null if the server is not declared. */
     const Cell *cellOf(const ServerName &server) const;
     /** Returns the servers of @p role in @p cell, in name order. */
--- a/src/placement/cellscheduler.cpp
+++ b/src/placement/cellscheduler.cpp
@@ -50,8 +50,8 @@
 
 void CellScheduler::handleClaim(Turn &turn, PeerRequestNumber number, const ClaimCapacity &claim)
 {
-    const Target *declared = m_servers.target(turn);
-    if (!declared) {
+    const Target *target = m_servers.target(turn);
+    if (!target) {
         refuse(turn, number, NotGranted::Why::NoServer, MinRetryAfter);
         return;
     }
@@ -72,7 +72,7 @@
     waiting.hasShortTarget = claim.untilDeadline <= shortestTarget() * ShortTargetFactor;
     waiting.cachedTokens = m_servers.maxCachedTokens(claim);
     const Duration wait = expectedWait(backlogAhead(turn, waiting));
-    const bool isQueueFull = this->waitingCount() >= declared->maxQueued;
+    const bool isQueueFull = this->waitingCount() >= target->maxQueued;
     if (isQueueFull || turn.now + wait > waiting.giveUpAt) {
         refuse(turn, number, NotGranted::Why::Overload, wait);
         return;
@@ -158,10 +158,10 @@
     grant.stageStartedAt = turn.now;
     ServerLoad &load = m_servers.load(*server);
     load.assign(ended.claim, 0);
-    const Target *declared = m_servers.target(turn);
+    const Target *target = m_servers.target(turn);
     const Pool *pool = turn.deployment.pool(turn.deployment.server(*server)->pool);
-    if (declared && pool && pool->linkRate > 0 && declared->kvBytes > 0) {
-        const double bytes = static_cast<double>(declared->kvBytes) * grant.claim.promptTokens;
+    if (target && pool && pool->linkRate > 0 && target->kvBytes > 0) {
+        const double bytes = static_cast<double>(target->kvBytes) * grant.claim.promptTokens;
         load.reserveLink(turn.now, duration(bytes / static_cast<double>(pool->linkRate)));
     }
     turn.reply(number, DecodeAssigned {*server});
@@ -441,12 +441,12 @@
 CellScheduler::Backlog CellScheduler::emptyBacklog(const Turn &turn) const
 {
     Backlog backlog;
-    const Target *declared = m_servers.target(turn);
-    if (!declared) {
+    const Target *target = m_servers.target(turn);
+    if (!target) {
         return backlog;
     }
     backlog.freeSlots =
-        m_servers.totalFreeSlots(turn, declared->isService ? Role::Service : Role::Decode)
+        m_servers.totalFreeSlots(turn, target->isService ? Role::Service : Role::Decode)
         - static_cast<std::int64_t>(m_prefillInFlight);
     for (const ServerName &server : m_servers.usableServers(turn, Role::Prefill, {})) {
         const double speed = 1 / m_servers.expectedPrefillSeconds(turn, server, 1);
@@ -511,8 +511,8 @@
     if (waitingCount() == 0) {
         return;
     }
-    const Target *declared = m_servers.target(turn);
-    const bool refusesLate = declared && declared->late == LatePolicy::Refuse;
+    const Target *target = m_servers.target(turn);
+    const bool refusesLate = target && target->late == LatePolicy::Refuse;
     Backlog ahead = emptyBacklog(turn);
     refuseExpired(turn, m_onTime, ahead);
     for (auto it = m_onTime.begin(); it != m_onTime.end();) {
@@ -549,9 +549,9 @@
 
 bool CellScheduler::grantNext(Turn &turn)
 {
-    const Target *declared = m_servers.target(turn);
-    const Role role = declared && declared->isService ? Role::Service : Role::Decode;
-    if (!declared
+    const Target *target = m_servers.target(turn);
+    const Role role = target && target->isService ? Role::Service : Role::Decode;
+    if (!target
         || m_servers.totalFreeSlots(turn, role) - static_cast<std::int64_t>(m_prefillInFlight)
             <= 0) {
         return false;
@@ -582,10 +582,10 @@
 
 bool CellScheduler::tryGrant(Turn &turn, const WaitingClaim &waiting)
 {
-    const Target *declared = m_servers.target(turn);
+    const Target *target = m_servers.target(turn);
     const ClaimNumber number = turn.numbers.next<ClaimNumber>();
     Grant grant {waiting.claim, Stage::Prefill, {}, turn.now, false};
-    if (declared->isService) {
+    if (target->isService) {
         const auto server = m_servers.chooseService(turn, waiting.claim);
         if (!server) {
             return false;
--- a/src/placement/cellservers.cpp
+++ b/src/placement/cellservers.cpp
@@ -148,10 +148,10 @@
     }
     const ServerLoad &load = it->second;
     std::uint32_t slots = server.slots;
-    const Target *declared = target(turn);
+    const Target *cellTarget = target(turn);
     const double maxTokenTime =
-        std::chrono::duration<double>(declared->betweenTokens).count() * SlowFactor;
-    if (declared->isService || load.tokenTime() <= maxTokenTime) {
+        std::chrono::duration<double>(cellTarget->betweenTokens).count() * SlowFactor;
+    if (cellTarget->isService || load.tokenTime() <= maxTokenTime) {
         return load.usedSlots() < slots ? slots - load.usedSlots() : 0;
     }
     // A slow server gets no requests until the observation has aged, then one trial request.
--- a/src/requests/capacityclaims.cpp
+++ b/src/requests/capacityclaims.cpp
@@ -22,7 +22,7 @@
 constexpr Duration ReleaseTimeout = std::chrono::seconds(1);
 constexpr Duration ReleaseRetryAfter = std::chrono::milliseconds(500);
 /** A release that is lost this often is found by the scheduler's claim check. */
-constexpr int MaxReleaseTries = 5;
+constexpr int MaxReleaseAttempts = 5;
 
 } // namespace
 
@@ -57,9 +57,9 @@
 bool CapacityClaims::isReachable(const Turn &turn, const NodeName &node) const
 {
     const MemberUpdate *member = turn.members.member(node);
-    const auto silent = m_unreachableUntil.find(node);
+    const auto unreachable = m_unreachableUntil.find(node);
     return member && member->state != MemberState::Suspect
-        && (silent == m_unreachableUntil.end() || turn.now >= silent->second);
+        && (unreachable == m_unreachableUntil.end() || turn.now >= unreachable->second);
 }
 
 std::optional<ClaimResult>
@@ -130,7 +130,7 @@
     if (const auto it = m_releases.find(call); it != m_releases.end()) {
         Release release = std::move(it->second);
         m_releases.erase(it);
-        if (!reply && ++release.tries < MaxReleaseTries) {
+        if (!reply && ++release.attempts < MaxReleaseAttempts) {
             const std::uint64_t retry = ++m_lastRetry;
             m_timers.set({Timer::RetryRelease, retry}, turn.now + turn.jittered(ReleaseRetryAfter));
             m_releasesToRetry.emplace(retry, std::move(release));
--- a/src/requests/capacityclaims.h
+++ b/src/requests/capacityclaims.h
@@ -109,7 +109,7 @@
     {
         NodeLife scheduler;
         ReleaseClaim message;
-        int tries = 0;
+        int attempts = 0;
     };
     enum class Timer {
         ProbeScheduler,
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -382,7 +382,7 @@
     wanted.request = number;
     wanted.attempt = request.attempt;
     wanted.target = request.spec.target;
-    const std::uint32_t cells = turn.cells.count(request.spec.target);
+    const std::uint32_t cells = turn.cells.cellCount(request.spec.target);
     // The hash of the prompt's first tokens selects the cell, so that cached prefixes are reused.
     wanted.cell = static_cast<std::uint32_t>(
         (request.spec.prefixHashes.empty() ? turn.below(cells) : request.spec.prefixHashes.front())
@@ -549,7 +549,7 @@
     std::vector<ServerName> candidates;
     std::vector<ServerName> avoided;
     std::uint32_t slots = 0;
-    const std::uint32_t cells = turn.cells.count(request.spec.target);
+    const std::uint32_t cells = turn.cells.cellCount(request.spec.target);
     for (std::uint32_t cell = 0; cell < cells; ++cell) {
         for (const ServerName &name : turn.cells.servers({request.spec.target, cell}, role)) {
             const Server *server = turn.deployment.server(name);
--- a/src/requests/reservations.cpp
+++ b/src/requests/reservations.cpp
@@ -13,10 +13,10 @@
 constexpr Duration KeyLifetime = std::chrono::hours(24);
 /** Time for which new keys share a lease, so that a request does not cost a lease of its own. */
 constexpr Duration LeaseReusePeriod = std::chrono::hours(1);
-constexpr int MaxTries = 3;
+constexpr int MaxAttempts = 3;
 constexpr Duration RetryDelay = std::chrono::milliseconds(300);
 constexpr Duration EndRetryDelay = std::chrono::seconds(1);
-constexpr int MaxEndTries = 600;
+constexpr int MaxEndAttempts = 600;
 
 } // namespace
 
@@ -89,7 +89,7 @@
         Entry &entry = it->second;
         if (entry.state == State::Ending) {
             sendEnd(turn, request, entry);
-        } else if (++entry.attempts > MaxTries) {
+        } else if (++entry.attempts > MaxAttempts) {
             results.emplace_back(ReservationUnavailable {request});
         } else {
             sendReserve(turn, request, entry);
@@ -186,7 +186,7 @@
 void Reservations::handleEndAnswer(Turn &turn, RequestNumber request, Entry &entry,
                                    const StoreAnswered &answer)
 {
-    if (std::holds_alternative<StoreResult>(answer.outcome) || ++entry.attempts > MaxEndTries) {
+    if (std::holds_alternative<StoreResult>(answer.outcome) || ++entry.attempts > MaxEndAttempts) {
         m_entries.erase(request);
         return;
     }
