--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -184,7 +184,7 @@
         {"report_bytes", static_cast<double>(reports.bytesSent + reports.bytesReceived)},
         {"requests_open", static_cast<double>(m_node->requests().open())},
         {"requests_unfinished", static_cast<double>(m_node->requests().unfinished())},
-        {"claims_waiting", static_cast<double>(m_node->scheduler().waiting())},
+        {"claims_waiting", static_cast<double>(m_node->scheduler().waitingClaims())},
         {"cells", static_cast<double>(m_node->scheduler().cells().size())},
         {"members_present", static_cast<double>(m_node->membership().presentCount())},
         {"configuration_revision", static_cast<double>(m_node->configuration().revision().value())},
--- a/src/placement/scheduler.cpp
+++ b/src/placement/scheduler.cpp
@@ -198,7 +198,7 @@
     return views;
 }
 
-std::size_t Scheduler::waiting() const
+std::size_t Scheduler::waitingClaims() const
 {
     std::size_t count = 0;
     for (const auto &[cell, scheduler] : m_cells) {
--- a/src/placement/scheduler.h
+++ b/src/placement/scheduler.h
@@ -37,7 +37,7 @@
     /** Returns the backend servers whose reports this node fetches. */
     std::vector<ServerName> servers(const CellMap &map) const;
     std::vector<GrantView> grants(TimePoint now) const;
-    std::size_t waiting() const;
+    std::size_t waitingClaims() const;
 
 private:
     enum class Timer {
