--- a/src/dispatch/crashrecords.h
+++ b/src/dispatch/crashrecords.h
@@ -11,41 +11,45 @@
 namespace indigoway::dispatch {
 
 /**
- * Which contents were at servers that crashed: how often in a row, as all nodes have recorded it.
- * A request that crashes whatever runs it comes again under new ids and at other nodes; each would
- * take it for a new one, and it would end server after server with all that they serve.
+ * Keeps the crash history of request contents, merged from the records of all nodes. A request that
+ * crashes its server returns under new ids and at other nodes, so it is recognised by its content.
+ * Content that reaches MaxCrashes consecutive crashes is refused for RetentionTime.
  *
- * Three rules keep other callers' requests out of it. Crashes count in a row only if the later run
- * was sent when the earlier crash was known, so that a rack that loses power is one crash for all
- * that ran there. Any whole answer to the same content ends the row. And what is refused is refused
- * for a limited time.
+ * A crash extends a series only if the run was sent after the previous crash was known; a power
+ * loss of many servers is therefore one crash for each content. A complete answer to the same
+ * content ends the series.
  */
 class CrashRecords
 {
 public:
     /**
-     * Crashes in a row after which no server gets the content any more. A caller who shares a
-     * server with such a request is cut when it crashes, and may by chance be cut again on coming
-     * back; each crash that is waited for spares such callers and costs one more server.
+     * Consecutive crashes after which the content is refused. A lower limit refuses requests that
+     * only shared a server with the cause; a higher one costs another server.
      */
     static constexpr std::uint32_t MostCrashes = 3;
-    /** Long enough for whatever sends it again to give up; a wrong verdict ends with it, too. */
+    /** Time until an entry expires. A wrong refusal ends with it. */
     static constexpr Duration KeptFor = std::chrono::minutes(10);
-    /** A crash takes some tens of contents along; these are the contents of dozens of crashes. */
+    /** Upper bound of entries. A crash adds a few dozen contents. */
     static constexpr std::size_t MostContents = 1024;
-    /** Of what this node has seen itself and the store has not confirmed. */
+    /** Revision of a local record that the store has not confirmed yet. */
     static constexpr std::uint64_t NotStored = std::numeric_limits<std::uint64_t>::max();
 
-    /** The @p count-th crash in a row, 1 or more; @p revision: of the record in the store. */
+    /**
+     * Records a crash.
+     * @param count The position in the series of consecutive crashes, from 1.
+     * @param revision The store revision of the record.
+     */
     void crashed(const ContentId &content, std::uint32_t count, std::uint64_t revision,
                  TimePoint now);
-    /** A server has given a whole answer: the crashes up to @p revision were not its doing. */
+    /** Records a complete answer, which clears crashes up to @p revision. */
     void answered(const ContentId &content, std::uint64_t revision, TimePoint now);
-    /** Crashes in a row, MostCrashes at the most. */
+    /** Returns the number of consecutive crashes, at most MaxCrashes. */
     std::uint32_t crashes(const ContentId &content) const;
-    /** Until when @p content is refused; nothing if it may be sent to a server. */
+    /**
+     * Returns the time until which @p content is refused, or nothing if it may be sent to a server.
+     */
     std::optional<TimePoint> refusedUntil(const ContentId &content) const;
-    /** Forgets what was last heard of longer ago than KeptFor. */
+    /** Removes entries that were not updated within RetentionTime. */
     void forgetOld(TimePoint now);
     std::size_t size() const { return m_entries.size(); }
     std::size_t refused() const;
@@ -53,7 +57,8 @@
 private:
     struct Entry
     {
-        std::array<std::uint64_t, MostCrashes> crashedAt {}; ///< Revisions, by count; 0: never.
+        std::array<std::uint64_t, MostCrashes>
+            crashedAt {}; ///< Store revisions, indexed by count - 1; 0 if there was no crash.
         std::uint64_t answeredAt = 0;
         TimePoint heard {};
     };
--- a/src/dispatch/crashwatch.cpp
+++ b/src/dispatch/crashwatch.cpp
@@ -9,7 +9,7 @@
     const ServerName &server = call.server.name;
     const bool isLeaving = m_state.servers.standing(server, step.now) == Standing::Leaving;
     if (isLeaving) {
-        return; // Its end was announced, and says nothing of its work.
+        return; // The shutdown of a draining server is expected.
     }
     auto [probed, isFirst] = m_probed.try_emplace(server);
     std::uint32_t &known = probed->second[request.facts.content];
--- a/src/dispatch/crashwatch.h
+++ b/src/dispatch/crashwatch.h
@@ -7,10 +7,9 @@
 namespace indigoway::dispatch {
 
 /**
- * Finds out which backend servers have crashed, and what they were working on. A lost connection
- * alone does not tell: links are reset, and servers that live break off some answers. So each is
- * followed by one attempt to connect; a server that lives takes it, and one that has just closed a
- * connection and takes no other has ended.
+ * Detects crashes of backend servers and records the contents that were running there. A lost
+ * connection alone may be a reset link or an aborted answer, so the server is probed with one
+ * connection attempt; if it fails, the server has crashed.
  */
 class CrashWatch
 {
@@ -19,18 +18,23 @@
         : m_state(state)
     { }
 
-    /** The connection of @p call was lost while its server worked on @p request. */
+    /**
+     * Starts a probe of the server of @p call, whose connection was lost while it ran @p request.
+     */
     void connectionLost(Step &step, const OpenCall &call, const OpenRequest &request);
-    /** The attempt to connect has ended. */
+    /** Records a crash if the probe of @p call could not connect. */
     void probeEnded(Step &step, const OpenCall &call, const CallEnded &event);
-    /** A server has answered @p content whole, well or not: it does not crash what runs it. */
+    /** Records that a server completed an answer to @p content, with any status. */
     void answered(Step &step, const ContentId &content);
 
 private:
     void noteCrash(Step &step, const ContentId &content, std::uint32_t count);
 
     DispatchState &m_state;
-    /** Servers that are being probed: contents lost there, with their crashes known before. */
+    /**
+     * Servers with a probe in progress: the contents lost there, with the number of crashes known
+     * before.
+     */
     std::map<ServerName, std::map<ContentId, std::uint32_t>> m_probed;
 };
 
--- a/src/dispatch/dispatcheffects.h
+++ b/src/dispatch/dispatcheffects.h
@@ -17,76 +17,82 @@
 namespace indigoway::dispatch {
 
 enum class CallKind {
-    Plain,      ///< A whole request to a plain service.
-    Reserve,    ///< Asks a decode engine to keep a slot and memory free.
-    Unreserve,  ///< Gives a reservation back.
-    Prefill,    ///< The prompt only; its KV cache stays under a handle.
-    FreeHandle, ///< Gives a prefill's KV cache back.
-    Decode,     ///< Streams, from a prefill's KV cache.
-    Whole,      ///< Prefill and decode on one decode engine.
-    Report,     ///< Asks an engine how many orders it has taken.
-    Order,      ///< Has an engine change its phase.
-    Probe,      ///< Only a connection: a server that has ended takes none.
+    Plain,      ///< Sends a complete request to a plain service.
+    Reserve,    ///< Reserves a slot and memory at a decode engine.
+    Unreserve,  ///< Releases a reservation.
+    Prefill,    ///< Processes the prompt; the KV cache is kept under a handle.
+    FreeHandle, ///< Releases the KV cache of a prefill.
+    Decode,     ///< Streams tokens, starting from a prefill's KV cache.
+    Whole,      ///< Runs prefill and decode on one decode engine.
+    Report,     ///< Queries the number of orders an engine has accepted.
+    Order,      ///< Orders an engine to change its phase.
+    Probe,      ///< Opens a connection only, to test whether the server is running.
 };
 
-/** A call to one backend server. CallEnded follows, once, unless it is abandoned. */
+/** Starts a call to a backend server. CallEnded follows once, unless the call is abandoned. */
 struct StartCall
 {
     CallNumber call;
-    RequestNumber request; ///< Whose bytes it carries; none for calls that belong to no request.
+    RequestNumber
+        request; ///< The request whose body is sent; none for calls that belong to no request.
     CallKind kind = CallKind::Plain;
     ServerName server;
-    std::string instance; ///< A server that calls itself otherwise does not run the call.
+    std::string instance; ///< Expected server instance; another instance does not execute the call.
     std::string address;
-    OrganisationName organisation; ///< On whose behalf; empty: nobody's.
-    Duration patience {};          ///< Handed on: how long the answer is waited for.
-    Duration silentFor {};         ///< Broken if the server sends nothing for so long; 0: no bound.
-    bool needsNewConnection = false;   ///< A kept one may die as the request is written.
-    std::uint32_t connectionsKept = 1; ///< To its server, by this node, at the most.
+    OrganisationName organisation;   ///< The calling organisation; empty if there is none.
+    Duration patience {};            ///< Remaining time for the answer, passed on to the server.
+    Duration silentFor {};           ///< Idle timeout, after which the call fails; 0 for none.
+    bool needsNewConnection = false; ///< Set if a reused connection that closes during the write
+                                     ///< would leave the execution in doubt.
+    std::uint32_t connectionsKept =
+        1; ///< Maximum of idle connections from this node to the server.
     std::uint64_t reserveTokens = 0;
     Duration reserveFor {};
-    std::string reservation;   ///< Reserve's result: for Decode, Whole and Unreserve.
-    std::string handle;        ///< Prefill's result: for Decode and FreeHandle.
-    std::string handleAddress; ///< Where the handle is.
-    bool goesOn = false;       ///< After the last event that the caller was passed.
+    std::string reservation;   ///< Result of Reserve; input of Decode, Whole and Unreserve.
+    std::string handle;        ///< Result of Prefill; input of Decode and FreeHandle.
+    std::string handleAddress; ///< Address of the engine that holds the KV cache.
+    bool goesOn = false;       ///< Resumes the stream after the last event forwarded to the caller.
     EnginePhase orderedPhase = EnginePhase::None;
-    std::uint64_t fencingToken = 0; ///< Of an Order: rises with each holder of the right.
-    std::uint64_t ordersTaken = 0;  ///< Of an Order: it is void if the engine took another one.
+    std::uint64_t fencingToken = 0; ///< For Order: increases with each holder of the order right.
+    std::uint64_t ordersTaken =
+        0; ///< For Order: the order is void if the engine has accepted another one since.
 };
 
-/** Closes the call's connection; what still comes of it is dropped. */
+/** Closes the connection of a call and ignores further results. */
 struct AbandonCall
 {
     CallNumber call;
 };
 
-/** The call's whole answer goes to the caller as it is. */
+/** Sends the complete answer of a call to the caller. */
 struct DeliverAnswer
 {
     RequestNumber request;
     CallNumber call;
 };
 
-/** The call's events go to the caller as they arrive. */
+/** Forwards the events of a call to the caller as they arrive. */
 struct ForwardStream
 {
     RequestNumber request;
     CallNumber call;
 };
 
-/** The stream ends in good order. */
+/** Completes the stream to the caller. */
 struct EndStream
 {
     RequestNumber request;
 };
 
-/** The connection is closed in the middle of the answer: the caller sees that it is not whole. */
+/**
+ * Closes the connection to the caller before the end of the answer, which marks it as incomplete.
+ */
 struct BreakStream
 {
     RequestNumber request;
 };
 
-/** The system's own answer. */
+/** Answers a request with an error generated by this node. */
 struct RejectRequest
 {
     RequestNumber request;
@@ -95,48 +101,48 @@
     std::string reason;
 };
 
-/** A datagram to the node that schedules the engines, if one is known; it may be lost. */
+/** Sends a datagram to the scheduler node, if it is known. Delivery is not guaranteed. */
 struct TellScheduler
 {
     scheduling::ToScheduler message;
 };
 
-/** A datagram to the node that keeps the quotas, if one is known; it may be lost. */
+/** Sends a datagram to the quota keeper, if it is known. Delivery is not guaranteed. */
 struct TellQuotaKeeper
 {
     quotas::ToKeeper message;
 };
 
-/** All nodes are to know of it, also those that start later. */
+/** Stores a crash note for all nodes, including those that start later. */
 struct ShareCrash
 {
     CrashNote note;
 };
 
-/** A line for the log: a decision with what it rests on. */
+/** Writes a log line with a decision and its inputs. */
 struct RecordDecision
 {
-    std::string kind; ///< A word per kind of decision; the volume is bounded for each.
+    std::string kind; ///< Kind of decision; the log rate is limited for each kind.
     std::string callerId;
     std::string detail;
 };
 
 enum class RequestOutcome {
     Served,
-    ServerFailed, ///< The server's own failure was passed on.
-    Rejected,     ///< Not run.
-    OverQuota,    ///< Not run: its organisation has used up what it may.
-    Failed,       ///< In doubt, or cut.
+    ServerFailed, ///< A server error was forwarded.
+    Rejected,     ///< The request was not executed.
+    OverQuota, ///< The request was not executed because the quota of its organisation is used up.
+    Failed,    ///< The execution is in doubt or the answer is incomplete.
     CallerLeft,
 };
 
-/** A request has ended; for counters and histograms. */
+/** Reports the end of a request, for counters and histograms. */
 struct RequestEnded
 {
     RequestOutcome outcome = RequestOutcome::Served;
     bool isGeneration = false;
-    OrganisationName organisation; ///< Empty: nobody's.
-    Duration untilFirst {};        ///< Arrival to the (first piece of the) answer.
+    OrganisationName organisation; ///< Empty if there is none.
+    Duration untilFirst {};        ///< Time from arrival to the first byte of the answer.
     Duration whole {};
 };
 
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -7,30 +7,33 @@
 
 namespace {
 
-/** Each look goes over all engines; orders come of what lasts for seconds. */
+/** Interval between evaluations of phase orders; each one scans all engines. */
 constexpr Duration LookAtOrdersEvery = std::chrono::milliseconds(250);
 constexpr int Unauthorized = 401;
 constexpr int NotFound = 404;
 constexpr int TooManyRequests = 429;
 constexpr int ServiceUnavailable = 503;
 constexpr int GatewayTimeout = 504;
-/** A caller who names no patience and a route without a timeout still end some time. */
+/** Time limit of a request if neither the caller nor the route sets one. */
 constexpr Duration LongestRequest = std::chrono::minutes(10);
 /**
- * The server was told the same end, and its own answer at that time is worth more than ours: it
- * is waited for this long. Covers the way back and a timer's slack.
+ * Extra time for the server's own timeout answer, which is preferred to one generated here. Covers
+ * the return path and timer granularity.
  */
 constexpr Duration TimeoutGrace = std::chrono::milliseconds(120);
-/** While no routing is known: it comes within a second of the store's or a peer's answer. */
+/** Retry delay while no routing table is loaded. */
 constexpr Duration RoutingComesAfter = std::chrono::milliseconds(400);
-/** Of the caller's patience, where nothing tells how long it will take. */
+/**
+ * Divisor of the caller's remaining time that gives the retry delay if the cause has no known
+ * duration.
+ */
 constexpr int ComeBackOfPatience = 4;
-/** Callers who come back from a leaving node are sent to other addresses at once. */
+/** Retry delay for callers of a draining node, who retry at other nodes. */
 constexpr Duration ElsewhereAfter = std::chrono::milliseconds(20);
-/** Streams last up to so long; a later one would be cut by the end of this process. */
+/** Longest expected stream; streams that could exceed the shutdown time are rejected. */
 constexpr Duration LongestStream = std::chrono::milliseconds(6000);
 constexpr Duration LongestPlain = std::chrono::milliseconds(1500);
-/** A caller who is over its quota comes back no sooner, however little is missing. */
+/** Lower bound of the retry delay after a quota rejection. */
 constexpr Duration LeastQuotaWait = std::chrono::milliseconds(100);
 
 double unitsOf(const Quota &quota, const ArrivedRequest &facts)
@@ -146,7 +149,7 @@
     const bool isServed = findRoute(step, request) && admitCaller(step, request)
         && chooseService(step, request) && mayBegin(step, request);
     if (!isServed) {
-        return; // It has its answer.
+        return; // The request has been answered.
     }
     request.answerBy = step.now + LongestRequest;
     if (request.route->timeout.count() > 0) {
@@ -392,7 +395,7 @@
         m_generations.phases().askForWork(step, *m_table);
         m_generations.phases().orderPhases(step, *m_table, m_orderToken);
     }
-    // It is given anew for each look at the time; the right may end in between.
+    // A token is valid for one evaluation only, as the order right may end in between.
     m_orderToken.reset();
 }
 
@@ -420,7 +423,7 @@
 
 void Dispatcher::rejectByOldCopy(Step &step, const ArrivedRequest &event)
 {
-    // Another node may know more; a store that is away for all comes back sooner or later.
+    // Another node may have a newer configuration.
     const Duration wait = event.patience ? *event.patience / ComeBackOfPatience : RoutingComesAfter;
     rejectUnserved(step, event, ServiceUnavailable, step.spread(wait),
                    "copy too old age_ms="
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -13,8 +13,9 @@
 namespace indigoway::dispatch {
 
 /**
- * The reducer over callers' requests: which backend server gets each, when, and how it ends. It
- * neither waits, reads a clock nor opens a socket; calls and answers are effects.
+ * Decides which backend server gets each request, when, and how the request ends. Implements a
+ * reducer: it never blocks, reads a clock or opens a socket; calls and answers are returned as
+ * effects.
  */
 class Dispatcher
 {
@@ -22,43 +23,47 @@
     Dispatcher(DispatchSettings settings, TimePoint startedAt);
 
     /**
-     * Open requests keep the table that was in force when they arrived; only those whose key has
-     * gone are turned away, unless a server may have begun with them.
+     * Replaces the routing table. Open requests keep the previous table, except that requests whose
+     * key was revoked are rejected if no server can have started them.
      */
     void setRoutes(std::shared_ptr<const RouteTable> table);
     const RouteTable *routes() const { return m_table.get(); }
-    /** Nodes that serve callers, this one included; they share the bounds on retries. */
+    /**
+     * Sets the number of nodes that serve callers, including this one; the retry budget is divided
+     * among them.
+     */
     void setNodes(std::uint32_t nodes, TimePoint now);
     void announce(AnnouncedServer server);
     void withdraw(const ServerName &name, TimePoint now) { m_state.servers.withdraw(name, now); }
-    /** That life of a server is over, or was never one to use: nothing is sent to it any more. */
+    /** Removes a server instance that has ended or must not be used. */
     void remove(const ServerName &name);
     const ServerDirectory &servers() const { return m_state.servers; }
-    /** This node may give orders to engines, or will when it has a token. */
+    /** Sets whether this node holds the right to order phase changes. */
     void setOrderRight(bool holds) { m_holdsOrderRight = holds; }
-    /** Orders are due, and this node has no token for them. */
+    /** Returns whether phase orders are due but the order token is missing. */
     bool wantsOrderToken() const { return m_generations.phases().wantsToken(); }
-    /** Looks over all engines for orders so far. */
+    /** Returns the number of evaluations of phase orders so far. */
     std::uint64_t orderLooks() const { return m_generations.phases().looks(); }
-    /** The token with which this node may give orders to engines now; nothing if it may not. */
+    /** Sets the fencing token that is required to order phase changes; nothing if there is none. */
     void setOrderToken(std::optional<std::uint64_t> token) { m_orderToken = token; }
     /**
-     * The node that schedules the engines and keeps the quotas; nothing if this node chooses by
-     * itself.
+     * Sets the node that schedules the engines and keeps the quotas; nothing if this node decides
+     * locally.
      */
     void setScheduler(std::optional<NodeName> name);
-    /** This node is asked to end by @p endsAt; what cannot be done by then is turned away. */
+    /** Starts the drain of this node. Requests that cannot complete by @p endsAt are rejected. */
     void leave(TimePoint now, TimePoint endsAt);
 
     /**
-     * A node has recorded @p note in the store, at @p revision. Whether its content is refused
-     * from now on, or no more.
+     * Applies a crash note that a node has stored.
+     * @param revision The store revision of @p note.
+     * @return Whether the refusal of its content has changed.
      */
     bool crashRecorded(const CrashNote &note, std::uint64_t revision, TimePoint now);
     const CrashRecords &crashes() const { return m_state.crashes; }
 
     DispatchEffects reduce(TimePoint now, std::uint64_t entropy, const DispatchEvent &event);
-    /** When TimePassed is wanted at the latest. */
+    /** Returns the latest time for the next TimePassed event. */
     std::optional<TimePoint> nextDeadline() const;
 
     std::size_t open() const { return m_state.requests.size(); }
@@ -76,22 +81,24 @@
                            const CallEnded &event);
     bool isTooLateForLeaving(TimePoint now, bool isStream) const;
     void timeOut(Step &step, OpenRequest &request);
-    // The steps of a request that has arrived; false: it has been answered.
+    // Each of these steps returns false if it has answered the request.
     bool findRoute(Step &step, OpenRequest &request);
     bool admitCaller(Step &step, OpenRequest &request);
     bool chooseService(Step &step, OpenRequest &request);
-    /** Whether it may be sent to a server at all, and can be answered before this node ends. */
+    /**
+     * Checks that the content is not refused and that the request can complete before a shutdown.
+     */
     bool mayBegin(Step &step, const OpenRequest &request);
-    /** Serves @p request if its organisation's quota has room for it. */
+    /** Starts @p request if the quota of its organisation allows it. */
     void serveWithinQuota(Step &step, OpenRequest &request);
     void quotaDecided(Step &step, const quotas::QuotaVerdict &verdict);
     void rejectOverQuota(Step &step, OpenRequest &request, Duration roomAfter);
-    /** Gives back what was not used, and says and decides what is due. */
+    /** Returns unused quota, sends due messages and applies due decisions. */
     void tickQuotas(Step &step);
-    /** This node does not know well enough how things are. */
+    /** Rejects the request because the local configuration is too old to decide. */
     void rejectByOldCopy(Step &step, const ArrivedRequest &event);
     std::string unknownKeyText(const ArrivedRequest &event) const;
-    /** Those whose key is not in the new routes any more. */
+    /** Rejects open requests whose key is missing from the new routing table. */
     void rejectWithoutKey(Step &step);
     void rejectUnserved(Step &step, const ArrivedRequest &event, int status,
                         std::optional<Duration> retryAfter, const std::string &why);
@@ -104,12 +111,12 @@
     CrashWatch m_crashWatch;
     std::shared_ptr<const RouteTable> m_table;
     quotas::QuotaGate m_quotas;
-    bool m_hasNewRoutes = false; ///< Since time passed last.
+    bool m_hasNewRoutes = false; ///< Since the last TimePassed event.
     Deadlines<RequestNumber> m_timeouts;
     std::optional<TimePoint> m_nextTick;
     bool m_holdsOrderRight = false;
     std::optional<std::uint64_t> m_orderToken;
-    TimePoint m_ordersLookedAt {}; ///< Whether orders are due.
+    TimePoint m_ordersLookedAt {}; ///< Last evaluation of phase orders.
     std::optional<TimePoint> m_leavingSince;
     TimePoint m_endsAt {};
 };
--- a/src/dispatch/dispatchevents.h
+++ b/src/dispatch/dispatchevents.h
@@ -13,40 +13,40 @@
 
 namespace indigoway::dispatch {
 
-/** What a caller asks for, as far as it matters for where and when it is served. */
+/** Describes a new request as far as routing and scheduling need it. */
 struct ArrivedRequest
 {
     RequestNumber request;
-    std::string callerId; ///< The caller's own name for this attempt; for logs.
+    std::string callerId; ///< The caller's id of this attempt, for logs.
     ContentId content;
     std::string host;
-    std::string path;                 ///< With its query.
-    std::optional<Duration> patience; ///< How long the caller waits at the most.
-    std::uint32_t promptTokens = 0;   ///< 0 if it is not a generation.
+    std::string path;                 ///< Includes the query.
+    std::optional<Duration> patience; ///< Maximum time the caller waits.
+    std::uint32_t promptTokens = 0;   ///< 0 if the request is not a generation.
     std::uint32_t mostOutputTokens = 0;
-    std::optional<std::uint32_t> likelyOutputTokens; ///< The caller's own estimate.
-    bool isContinuation = false; ///< Goes on after an event that the caller has already.
+    std::optional<std::uint32_t> likelyOutputTokens; ///< Estimate provided by the caller.
+    bool isContinuation = false; ///< Resumes after an event that the caller has received.
     bool isLastOnConnection = false;
     Credentials credentials;
-    /** How old this node's copy of the desired state may be by now; nothing: not known. */
+    /** Upper bound of the age of the node's configuration; nothing if unknown. */
     std::optional<Duration> copyAge;
 };
 
-/** The caller has closed its connection; nobody waits for the answer any more. */
+/** Signals that the caller has closed its connection. */
 struct CallerLeft
 {
     RequestNumber request;
 };
 
-/** How a call to a backend server ended. */
+/** Result of a call to a backend server. */
 enum class CallEnd {
-    NotConnected, ///< Nothing of it was sent.
-    NotExecuted,  ///< The server says that it did not and will not run it.
-    Complete,     ///< The server's whole answer is there.
-    Broken,       ///< Ended early, or with bytes that are no answer: it may have been run.
+    NotConnected, ///< Nothing was sent.
+    NotExecuted,  ///< The server states that it did not and will not execute the request.
+    Complete,     ///< The answer is complete.
+    Broken,       ///< Aborted early or malformed: the request may have been executed.
 };
 
-/** Requests at a server, as it tells with an answer. */
+/** Request counts that a server reports with its answer. */
 struct ServerLoad
 {
     std::uint32_t running = 0;
@@ -54,7 +54,7 @@
     std::uint32_t slots = 0;
 };
 
-/** A stream's first event is there; the call goes on. */
+/** Signals the first event of a stream; the call continues. */
 struct StreamBegan
 {
     CallNumber call;
@@ -62,12 +62,12 @@
     std::optional<ServerLoad> load;
 };
 
-/** What an engine says of itself; some hundred milliseconds old. */
+/** Status reported by an engine, a few hundred milliseconds old. */
 struct EngineReport
 {
     bool isCarryingOutOrder = false;
-    std::uint64_t ordersTaken = 0; ///< By this life of it.
-    std::uint64_t startedAt = 0;   ///< Of this life; 0 if it does not tell.
+    std::uint64_t ordersTaken = 0; ///< Orders accepted since the engine started.
+    std::uint64_t startedAt = 0;   ///< Start time of the engine process; 0 if not reported.
 };
 
 struct CallEnded
@@ -77,28 +77,28 @@
     int status = 0; ///< 0 if there was no answer.
     std::optional<ServerLoad> load;
     std::string reservation;            ///< Of a Reserve that was granted.
-    std::string handle;                 ///< Of a Prefill that was done.
+    std::string handle;                 ///< Of a Prefill that succeeded.
     std::optional<EngineReport> report; ///< Of a Report that was answered.
-    std::uint32_t events = 0;           ///< Whole events of the stream that were passed on.
-    bool isConnectionLost = false;      ///< Of a Broken call: closed or reset by the server's side.
-    std::string why;                    ///< For logs, where it did not end well.
+    std::uint32_t events = 0;           ///< Complete stream events that were forwarded.
+    bool isConnectionLost = false;      ///< For Broken: the server closed or reset the connection.
+    std::string why;                    ///< Failure reason, for logs.
 };
 
-/** The node that schedules the engines has answered a claim. */
+/** Carries an answer of the scheduler node. */
 struct SchedulerAnswered
 {
     scheduling::FromScheduler message;
     Incarnation life; ///< Of the scheduler.
 };
 
-/** The node that keeps the quotas has told something. */
+/** Carries a message of the quota keeper. */
 struct QuotaKeeperAnswered
 {
     quotas::FromKeeper message;
-    Incarnation life; ///< Of the keeper.
+    Incarnation life; ///< Of the quota keeper.
 };
 
-/** Time has passed. */
+/** Signals that a deadline may have passed. */
 struct TimePassed
 {
 };
--- a/src/dispatch/dispatchstate.cpp
+++ b/src/dispatch/dispatchstate.cpp
@@ -7,7 +7,7 @@
 std::uint32_t DispatchState::connectionsKept(const Service &service) const
 {
     constexpr std::uint32_t KeptAtMost = 8;
-    /** The rest is for calls, which at the peak come all at once. */
+    /** Leaves three quarters of the limit to active calls. */
     constexpr std::uint32_t KeptPart = 4;
     if (service.maxConnections == 0 || nodes == 0) {
         return 1;
--- a/src/dispatch/dispatchstate.h
+++ b/src/dispatch/dispatchstate.h
@@ -12,17 +12,17 @@
 
 namespace indigoway::dispatch {
 
-/** What a node is told about its place and its bounds. */
+/** Configuration of a node's dispatcher. */
 struct DispatchSettings
 {
     DomainName domain;
     RetryBounds retries;
-    /** Callers' keys are judged by no older copy of the desired state; nothing: by any. */
+    /** Maximum age of the configuration that is used to check keys; nothing for no limit. */
     std::optional<Duration> mostCopyAge = {};
     quotas::QuotaBounds quotas = {};
 };
 
-/** What the flows share: the open requests, the servers, and what is known of them. */
+/** State shared by the request handlers: the open requests, the servers and their statistics. */
 struct DispatchState
 {
     DispatchState(DispatchSettings initial, TimePoint now)
@@ -33,7 +33,7 @@
 
     DispatchSettings settings;
     TimePoint startedAt {};
-    std::uint32_t nodes = 0; ///< That share the bounds on retries; 0: not known yet.
+    std::uint32_t nodes = 0; ///< Number of nodes that share the retry budget; 0 if unknown.
     TimePoint nodesAt {};
     OpenRequests requests;
     ServerDirectory servers;
@@ -43,23 +43,24 @@
     std::map<ServiceName, RetryAllowance> allowances;
 
     /**
-     * Idle connections to each server of @p service that this node may keep. A server resets those
-     * beyond its limit, which all nodes share, also when a request has just been written: its
-     * caller gets a failure in doubt.
+     * Returns the number of idle connections that this node may keep to each server of @p service.
+     * A server resets connections beyond its limit, which all nodes share, possibly after a request
+     * was written.
      */
     std::uint32_t connectionsKept(const Service &service) const;
 
-    /** Starts @p call for @p request, which waits for its end from now on. */
+    /** Starts @p call for @p request and makes it the call that the request waits for. */
     void startFor(Step &step, OpenRequest &request, const AnnouncedServer &server, StartCall call);
     /**
-     * For how long @p content is sent to no server any more, since servers crash under it; nothing
-     * if it may be sent.
+     * Returns how long @p content remains refused because of crashes, or nothing if it may be sent.
      */
     std::optional<Duration> refusedFor(const ContentId &content, TimePoint now) const;
     RetryAllowance &allowance(const ServiceName &service);
 };
 
-/** How one sort of request is served. One object per sort serves all its requests. */
+/**
+ * Interface of the handlers of one kind of request. One object handles all requests of its kind.
+ */
 class RequestFlow
 {
 public:
@@ -72,11 +73,11 @@
     virtual void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) = 0;
     virtual void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                            const CallEnded &event) = 0;
-    /** A call ended whose request was gone before. */
+    /** Handles the end of a call whose request has already ended. */
     virtual void orphanEnded(Step &step, const OpenCall &call, const CallEnded &event) = 0;
-    /** Gives up all that the request holds; it is ended by the caller of this. */
+    /** Releases all resources of the request; the caller of this function ends it. */
     virtual void release(Step &step, OpenRequest &request) = 0;
-    /** Time has passed; the time at which to be called again. */
+    /** Processes due work and returns the time of the next call. */
     virtual std::optional<TimePoint> tick(Step &step) = 0;
 };
 
--- a/src/dispatch/engineplacement.cpp
+++ b/src/dispatch/engineplacement.cpp
@@ -4,24 +4,21 @@
 
 namespace {
 
-/**
- * How long an engine that had no room is not asked again. Its requests run for seconds, so room
- * comes some times a second; asking more often only takes the engines' and the nodes' time.
- */
+/** Time during which an engine that refused a reservation is not asked again. */
 constexpr Duration RefusalPause = std::chrono::milliseconds(60);
-/** A request counts as at least so much smaller that a refusal for a larger one says nothing. */
-constexpr std::uint64_t SmallerByParts = 4;
 /**
- * Tokens of prompt that a prefill engine reads in the time that moving a KV cache to another
- * failure domain takes longer, with the price of the bytes between domains.
+ * A smaller request is tried despite a refusal if it is below the refused size by this divisor's
+ * share.
  */
+constexpr std::uint64_t SmallerByParts = 4;
+/** Cost, in prompt tokens, of moving a KV cache to another failure domain. */
 constexpr double OtherDomainTokens = 3000;
 constexpr double TokensPerWaiting = 5000;
-/** Between engines that look nearly alike the nearer one is asked first. */
+/** Cost, in tokens, of a decode engine in another failure domain. */
 constexpr double OtherDomainDecodeTokens = 1000;
-/** Beyond any engine's memory: one that takes no KV cache over is asked only if all are like it. */
+/** Exceeds any engine's memory: engines that fail to take over KV caches are the last choice. */
 constexpr double BadTargetTokens = 1e9;
-/** A prefill engine that may be the cause of a loss is taken where all others are in doubt too. */
+/** A prefill engine suspected of losing KV caches is the last choice. */
 constexpr double InDoubtTokens = 1e9;
 
 } // namespace
@@ -35,7 +32,7 @@
 {
     Engine &engine = m_engines[server];
     engine.tokens -= std::min(engine.tokens, tokens);
-    // Room has come free: a refusal from before does not hold any more.
+    // The released memory invalidates earlier refusals.
     engine.refusedAt = {};
     engine.refusedTokens = 0;
 }
--- a/src/dispatch/engineplacement.h
+++ b/src/dispatch/engineplacement.h
@@ -15,9 +15,8 @@
 namespace indigoway::dispatch {
 
 /**
- * Which decode engine is asked for room, and which prefill engine reads the prompt. Room itself
- * is promised by the engine: nodes do not see each other's work, so what is known here only
- * orders the asking.
+ * Chooses the decode and prefill engines of a request. Engines grant or refuse memory themselves;
+ * since nodes do not see each other's load, the local estimates only order the candidates.
  */
 class EnginePlacement
 {
@@ -31,45 +30,43 @@
     void asking(const ServerName &server);
     void granted(const ServerName &server);
     void refused(const ServerName &server, std::uint64_t tokens, TimePoint now);
-    /**
-     * @p decode could not take over the KV cache that @p prefill kept. The next ones of the engine
-     * that was at fault will likely be lost as well, and each costs a prompt read in vain.
-     */
+    /** Records that @p decode failed to take over the KV cache held by @p prefill. */
     void handoverLost(const ServerName &prefill, const ServerName &decode, TimePoint now);
     void forget(const ServerName &server) { m_engines.erase(server); }
-    /** The KV caches that @p prefill keeps are lost, whichever engine takes them. */
+    /**
+     * Returns whether KV caches held by @p prefill are expected to be lost at any decode engine.
+     */
     bool isBadSource(const ServerName &prefill, TimePoint now) const;
 
-    /** What a request needs of an engine. */
+    /** Requirements of a request. */
     struct Need
     {
         std::uint64_t tokens = 0;
-        DomainName domain; ///< Where the engine is best.
+        DomainName domain; ///< Preferred failure domain.
         const std::set<ServerName> *without = nullptr;
-        /**
-         * Decides between engines that look alike. Nodes that all took the first of them would
-         * send it all their work.
-         */
+        /** Breaks ties, so that nodes do not all choose the same engine. */
         std::uint64_t entropy = 0;
     };
 
-    /** The engine of @p candidates that likeliest has room for @p need; null: ask later. */
+    /**
+     * Returns the candidate most likely to have enough memory, or null if none should be asked now.
+     */
     const AnnouncedServer *pickDecode(const std::vector<const AnnouncedServer *> &candidates,
                                       const Need &need, TimePoint now) const;
-    /** The engine that likeliest is done first with a prompt for decode in the need's domain. */
+    /** Returns the candidate expected to process the prompt first, or null if there is none. */
     const AnnouncedServer *pickPrefill(const std::vector<const AnnouncedServer *> &candidates,
                                        const Need &need, TimePoint now) const;
 
 private:
     struct Engine
     {
-        std::uint64_t tokens = 0; ///< Of this node's own requests.
-        std::uint32_t asked = 0;  ///< Reservations under way.
+        std::uint64_t tokens = 0; ///< Tokens of this node's requests.
+        std::uint32_t asked = 0;  ///< Reservations in progress.
         std::uint64_t refusedTokens = 0;
         TimePoint refusedAt {};
     };
 
-    /** Nothing: not to be used now. The lowest is the best. */
+    /** Returns the cost of a server, lower is better; nothing if it must not be used now. */
     using Score = std::function<std::optional<double>(const AnnouncedServer &)>;
 
     static const AnnouncedServer *best(const std::vector<const AnnouncedServer *> &candidates,
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -11,27 +11,26 @@
 
 constexpr int FirstServerFailure = 500;
 constexpr int BadGateway = 502;
-/** How often engines are asked again while requests wait and nothing else has happened. */
+/** Interval between reservation attempts while requests wait. */
 constexpr Duration AskAgainAfter = std::chrono::milliseconds(30);
-/** While the scheduler decides: only what has waited too long is looked for. */
+/** Interval between checks for overdue requests while the scheduler decides. */
 constexpr Duration LookAtClaimsAfter = std::chrono::milliseconds(100);
-/** Reservations that are asked for at a time; more would overtake each other's order. */
+/** Maximum of concurrent reservations; more would break the queue order. */
 constexpr std::uint32_t MostReserving = 4;
-/** An engine answers a reservation at once; a silent one is down. */
+/** Engines answer reservations immediately; a later answer means that the engine is down. */
 constexpr Duration ReserveSilence = std::chrono::milliseconds(300);
 /**
- * Longest prompts take 300 ms to read; at the worst load one in a hundred waits for others up to 2
- * s. A shorter bound sends those again and reads prompts twice when engines have least time to
- * spare; an engine that is down does not take the connection, and is found by that.
+ * Covers the queueing of prompts at peak load. A shorter timeout would repeat prefills when engines
+ * are busiest; an engine that is down is detected by its failed connection.
  */
 constexpr Duration PrefillSilence = std::chrono::milliseconds(2000);
-/** Of a stream that can be taken over: the longest pauses of a healthy engine are a third. */
+/** Idle timeout of resumable streams, three times the longest pause of a healthy engine. */
 constexpr Duration StreamSilence = std::chrono::milliseconds(1500);
-/** The scheduler refuses in time; if it does not, the node does so much later. */
+/** Extra time for the scheduler to reject a request before this node does. */
 constexpr Duration SchedulerSlack = std::chrono::milliseconds(250);
-/** From a reservation to the first event, at the median: prompt read, moved, first token. */
+/** Typical time from a reservation to the first event. */
 constexpr Duration FirstEventAfter = std::chrono::milliseconds(250);
-/** A reservation is not relied on so shortly before its end. */
+/** Reservations that expire within this time are not used. */
 constexpr Duration ReservationMargin = std::chrono::milliseconds(100);
 constexpr std::uint32_t MostPrefills = 2;
 
@@ -40,7 +39,9 @@
     return {request.tokens, domain, &request.tried, step.random()};
 }
 
-/** What a reservation that was not granted says of its engine. */
+/**
+ * Maps the result of a failed reservation to the claim result that is reported to the scheduler.
+ */
 ClaimEnd endOfReservation(CallEnd end)
 {
     switch (end) {
@@ -52,8 +53,8 @@
     case CallEnd::Broken:
         break;
     }
-    // Only its answer was lost. Taken for unreachable, each engine that loses some answers was out
-    // for a second and more, many at once, while callers are refused.
+    // A lost answer does not make the engine unreachable: with lossy links most engines would be
+    // excluded.
     return ClaimEnd::EngineFailed;
 }
 
@@ -129,7 +130,7 @@
 {
     m_waiting.erase(request.facts.request);
     if (!request.call.isNone()) {
-        // An answer to a reservation tells what has to be given back; it is waited for.
+        // The result of a reservation is needed to release it.
         if (request.callKind != CallKind::Reserve) {
             m_state.calls.abandon(step, request.call);
         }
@@ -199,7 +200,7 @@
     std::vector<RequestNumber> hopeless;
     for (const RequestNumber number : m_waiting) {
         const OpenRequest *request = m_state.requests.find(number);
-        // The scheduler answers in time; if it does not, this does.
+        // The scheduler normally rejects first.
         const Duration slack = request->claim.isNone() ? Duration(0) : SchedulerSlack;
         if (step.now > request->waitingSince + longestWait(*request) + slack) {
             hopeless.push_back(number);
@@ -247,7 +248,7 @@
     }
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
-        // What this node knows of the servers is newer.
+        // The local server list is newer than the grant.
         m_claims.end(step, *request, scheduling::ClaimEnd::Dropped);
         request->tried.insert(granted->decodeServer);
         pump(step);
@@ -341,8 +342,8 @@
     StartCall call;
     call.kind = CallKind::Prefill;
     call.silentFor = PrefillSilence;
-    // An engine that fell silent takes no new connection, which shows five times sooner than its
-    // silence on a kept one, and without the request having been sent.
+    // A new connection detects a hanging engine earlier than the idle timeout, and before the
+    // request is sent.
     call.needsNewConnection = true;
     m_state.startFor(step, request, *server, std::move(call));
 }
@@ -375,7 +376,7 @@
     if (event.end == CallEnd::NotConnected) {
         --request.prefillTries;
     } else if (request.arrivals == 0) {
-        request.arrivals = 1; // Only a prefill that was done does not count as one.
+        request.arrivals = 1; // Only successful prefills are exempt from the retry budget.
     }
     step.add(RecordDecision {"prefill_failed", request.facts.callerId,
                              "server=" + server.text() + " " + event.why});
@@ -425,8 +426,8 @@
     switch (event.end) {
     case CallEnd::Complete: {
         if (request.isForwarding && request.streaming != event.call) {
-            // Whole, but a failure in place of the rest: passed for the stream's end, the caller
-            // would take the part that it has for all.
+            // An error response in place of the remaining events must not end the stream as
+            // complete.
             m_state.tracker.answered(server, step.now - call.started, false, step.now);
             CallEnded failure = event;
             failure.why = "answered " + std::to_string(event.status) + " in place of going on";
@@ -471,7 +472,7 @@
         request.tried.insert(call.server.name);
         how = ClaimEnd::Unreachable;
     } else if (call.kind == CallKind::Decode) {
-        // Room was reserved, so it is the KV cache that could not be had.
+        // Memory was reserved, so the KV cache was not available.
         m_placement.handoverLost(request.prefillServer, call.server.name, step.now);
         request.handle.clear();
         request.readsWhole = true;
@@ -508,7 +509,7 @@
         step.add(RecordDecision {"resume", request.facts.callerId,
                                  "after_events=" + std::to_string(request.eventsPassed) + " "
                                      + event.why});
-        request.arrivals = 0; // Its extra arrival is paid for.
+        request.arrivals = 0; // The retry has already been charged to the budget.
         enqueue(step, request);
         return;
     }
--- a/src/dispatch/generationflow.h
+++ b/src/dispatch/generationflow.h
@@ -12,10 +12,9 @@
 namespace indigoway::dispatch {
 
 /**
- * Generations. Room at a decode engine is reserved first, then the prompt is read by a prefill
- * engine, then the decode engine takes its KV cache over and streams. A prompt is never read
- * before there is room for what comes of it: a KV cache that finds no decode engine lapses within
- * a second, and the work is lost. What finds no room waits here, in order, and not at an engine.
+ * Handles generations: reserves memory at a decode engine, has a prefill engine process the prompt,
+ * then transfers the KV cache and streams. Prefill starts only after the reservation, as unclaimed
+ * KV caches expire. Requests without a reservation are queued here, not at the engines.
  */
 class GenerationFlow : public RequestFlow
 {
@@ -26,11 +25,11 @@
         , m_phases(state)
     { }
 
-    /** The engine has vanished for good. */
+    /** Removes the statistics of an engine that has been removed. */
     void forget(const ServerName &server) { m_placement.forget(server); }
     PhaseChanges &phases() { return m_phases; }
     const PhaseChanges &phases() const { return m_phases; }
-    /** The node that schedules the engines; nothing if this node chooses by itself. */
+    /** Sets the node that schedules the engines; nothing if this node chooses them. */
     void setScheduler(std::optional<NodeName> name) { m_claims.setScheduler(std::move(name)); }
     void schedulerAnswered(Step &step, const SchedulerAnswered &event);
 
@@ -54,7 +53,7 @@
     void reserveEnded(Step &step, OpenRequest &request, const OpenCall &call,
                       const CallEnded &event);
     void prefill(Step &step, OpenRequest &request);
-    /** The scheduler's choice, once, if it may still be used; else null. */
+    /** Returns the prefill engine chosen by the scheduler, once, or null if it cannot be used. */
     const AnnouncedServer *plannedPrefill(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, OpenRequest &request, const OpenCall &call,
                       const CallEnded &event);
@@ -65,13 +64,13 @@
                       const CallEnded &event);
     void decodeBroken(Step &step, OpenRequest &request, const CallEnded &event);
     /**
-     * Whether the next call may be sent; else the request has ended. Others may have found out
-     * meanwhile that servers crash under it. The first arrival is free, later ones are retries.
+     * Checks the crash records and the retry budget before a call; the first call is not a retry.
+     * @return False if the request has been ended.
      */
     bool maySend(Step &step, OpenRequest &request);
     void noteFailure(Step &step, const ServerName &server, CallEnd end);
     void giveUpNotRun(Step &step, OpenRequest &request, const std::string &why);
-    /** Gives back memory charged, reservation, handle and claim. */
+    /** Releases the engine load, reservation, handle and claim of @p request. */
     void giveBack(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
     std::vector<const AnnouncedServer *> engines(Step &step, const OpenRequest &request,
                                                  EnginePhase phase) const;
--- a/src/dispatch/generationlimits.cpp
+++ b/src/dispatch/generationlimits.cpp
@@ -7,25 +7,21 @@
 namespace {
 
 /**
- * Of its target: a request that found no room for so long can hardly meet it any more, and what
- * comes after it can.
+ * Share of the route's target after which a queued request is rejected, as it can no longer meet
+ * the target.
  */
 constexpr double WaitOfTarget = 0.9;
-/** A stream that goes on: its caller has part of the answer, and stays for two seconds at least. */
+/** Maximum queue time of a resumed stream, during which its caller receives nothing. */
 constexpr Duration LongestPause = std::chrono::milliseconds(2000);
-/**
- * Of the caller's patience. Callers come back once, and honour up to a third of the time they have
- * left. They are late then anyway, and a second rejection is worse than a wait: bursts last some
- * seconds.
- */
+/** Divisor of the caller's remaining time; retries within a third of it are accepted by callers. */
 constexpr int ComeBackOfPatience = 4;
-/** Where the caller does not tell its patience. */
+/** Retry delay if the caller's remaining time is unknown. */
 constexpr Duration ComeBackUntold = std::chrono::milliseconds(3500);
-/** Of the caller's estimate of the output, which is right at the median only. */
+/** Factor on the caller's output estimate, which is only accurate at the median. */
 constexpr double ReservedOfLikely = 1.5;
-/** The rest of the output finds room when it comes: the scheduler has looked ahead for it. */
+/** Share of the estimated output that is reserved first; the scheduler has planned for the rest. */
 constexpr double ReservedOfPlanned = 0.25;
-/** Memory is given out by blocks of so many tokens. */
+/** Block size of engine memory, in tokens. */
 constexpr std::uint64_t BlockTokens = 16;
 
 std::uint64_t partOf(std::uint64_t tokens, double part)
--- a/src/dispatch/generationlimits.h
+++ b/src/dispatch/generationlimits.h
@@ -4,19 +4,18 @@
 
 #include <cstdint>
 
-/** @file How much a generation asks for and how long it waits, as functions of the request alone.
- */
+/** @file Computes the memory demand and time limits of generations. */
 namespace indigoway::dispatch {
 
 scheduling::MemoryNeed memoryNeedOf(const ArrivedRequest &facts);
-/** What is asked of an engine that is chosen without knowing what else it was asked for. */
+/** Returns the tokens to reserve at an engine that was chosen without the scheduler. */
 std::uint64_t tokensUnplanned(const ArrivedRequest &facts, const scheduling::MemoryNeed &need);
-/** What is asked of an engine whose memory the scheduler has looked ahead for. */
+/** Returns the tokens to reserve first at an engine that the scheduler has chosen. */
 std::uint64_t tokensToBegin(const scheduling::MemoryNeed &need);
 
-/** For room, before the request is rejected. */
+/** Returns the time a request may wait for a reservation before it is rejected. */
 Duration longestWait(const OpenRequest &request);
-/** Until a rejected caller is to come back. */
+/** Returns the delay after which a rejected caller should retry. */
 Duration comeBackAfter(const OpenRequest &request);
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/openrequests.cpp
+++ b/src/dispatch/openrequests.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Milliseconds between two moments of a request, or a dash where it did not come so far. */
+/** Returns the milliseconds between two times of a request, or a dash if @p to is not set. */
 std::string elapsedText(TimePoint from, TimePoint to)
 {
     return to == TimePoint {} ? std::string("-") : millisecondsText(to - from);
--- a/src/dispatch/openrequests.h
+++ b/src/dispatch/openrequests.h
@@ -17,7 +17,7 @@
 
 namespace indigoway::dispatch {
 
-/** What the handling of one event may use: the time, its randomness, the list of effects. */
+/** Context of one event: the current time, its random generator and the list of effects. */
 class Step
 {
 public:
@@ -39,7 +39,9 @@
     {
         return bound < 2 ? 0 : std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(random);
     }
-    /** From half of @p duration to one and a half, so that many do not come back together. */
+    /**
+     * Returns a random duration between half and one and a half of @p duration, to spread retries.
+     */
     Duration spread(Duration duration)
     {
         return duration / 2 + Duration(below(static_cast<std::uint64_t>(duration.count()) + 1));
@@ -49,102 +51,107 @@
     DispatchEffects &m_effects;
 };
 
-/** Where a generation stands. Plain requests stay Calling. */
+/** State of a generation. Plain requests stay in Calling. */
 enum class Stage {
-    AwaitingQuota, ///< For the answer of the node that keeps the quotas.
+    AwaitingQuota, ///< Waits for the quota keeper.
     Calling,
-    Waiting, ///< For a decode engine with room.
+    Waiting, ///< Waits for a reservation at a decode engine.
     Reserving,
     Prefilling,
     Decoding,
 };
 
-/** A caller's request from its arrival to its one end. */
+/** A caller's request from arrival to completion. */
 struct OpenRequest
 {
     ArrivedRequest facts;
-    std::shared_ptr<const RouteTable> table;    ///< In force when it arrived; kept for it.
-    const Route *route = nullptr;               ///< In table.
-    const Service *service = nullptr;           ///< In table.
-    const Organisation *organisation = nullptr; ///< In table; null: nobody's.
+    std::shared_ptr<const RouteTable> table;    ///< The table in force at arrival.
+    const Route *route = nullptr;               ///< Owned by table.
+    const Service *service = nullptr;           ///< Owned by table.
+    const Organisation *organisation = nullptr; ///< Owned by table; null if there is none.
     TimePoint arrived {};
-    TimePoint answerBy {}; ///< Its route's timeout or the caller's patience, what ends first.
+    TimePoint answerBy {}; ///< The earlier of the route's timeout and the caller's.
 
     Stage stage = Stage::Calling;
-    CallNumber call; ///< The one it waits for; none while it waits for room.
+    CallNumber call; ///< The current call; none while queued.
     CallKind callKind = CallKind::Plain;
-    ServerName server; ///< Of the call.
+    ServerName server; ///< Server of the current or last call.
     TimePoint callStarted {};
     std::set<ServerName> tried;
-    std::uint32_t runs = 0;         ///< Calls that a server may have begun to run.
-    std::uint32_t arrivals = 0;     ///< Calls that count as sent to the service.
-    std::uint32_t crashesKnown = 0; ///< Of its content, in a row, when its call was started.
+    std::uint32_t runs = 0;     ///< Calls that a server may have executed.
+    std::uint32_t arrivals = 0; ///< Calls that count against the retry budget, including the first.
+    std::uint32_t crashesKnown =
+        0; ///< Consecutive crashes of the content when the call was started.
     bool isForwarding = false;
-    CallNumber streaming; ///< The call whose events are being forwarded.
+    CallNumber streaming; ///< The call whose events are forwarded.
     TimePoint firstAnswer {};
     std::uint32_t eventsPassed = 0;
-    bool isComingBack = false; ///< Its caller was turned away before, here or elsewhere.
+    bool isComingBack = false; ///< The caller was rejected before, by any node.
 
-    double quotaUnits = 0; ///< That the keeper has counted against its organisation.
+    double quotaUnits = 0; ///< Units that the keeper has counted against the organisation.
 
-    // Of generations.
-    scheduling::ClaimId claim;   ///< At the scheduler; none while this node chooses by itself.
-    bool isPlannedWhole = false; ///< The scheduler has the decode engine read the prompt.
-    ServerName plannedPrefill;   ///< Chosen by the scheduler; empty: this node chooses.
+    // Fields of generations.
+    scheduling::ClaimId claim;   ///< Claim at the scheduler; none while this node chooses engines.
+    bool isPlannedWhole = false; ///< The scheduler assigned the prefill to the decode engine.
+    ServerName plannedPrefill;   ///< Assigned by the scheduler; empty if this node chooses.
     ServerName decodeServer;
     scheduling::MemoryNeed memory;
-    std::uint64_t tokens = 0; ///< The most of it; charged to decodeServer while it is set.
+    std::uint64_t tokens =
+        0; ///< Maximum tokens, added to the load of decodeServer while that is set.
     std::string reservation;
     TimePoint reservedUntil {};
     ServerName prefillServer;
     std::uint32_t prefillTries = 0;
     std::string handle;
-    bool readsWhole = false; ///< The decode engine is to read the prompt itself.
+    bool readsWhole = false; ///< The decode engine must process the prompt itself.
     TimePoint waitingSince {};
-    TimePoint roomAt {}; ///< When a decode engine promised room, the last time.
+    TimePoint roomAt {}; ///< Time of the last granted reservation.
     TimePoint prefilledAt {};
-    std::uint32_t refusals = 0; ///< Engines that had no room in this round of asking.
+    std::uint32_t refusals = 0; ///< Engines that refused a reservation.
 
     scheduling::Urgency urgency() const;
-    /** Its organisation's, before its route's. */
+    /** Returns the priority of the organisation if it has one, else that of the route. */
     std::uint32_t priority() const;
     bool isGeneration() const { return route->isStream && service && service->engine; }
     bool mayHaveRun() const { return runs > 0; }
 };
 
-/** The open requests, and the ways in which one ends. Every request ends exactly once. */
+/** Stores the open requests and ends each of them exactly once. */
 class OpenRequests
 {
 public:
     OpenRequest &add(OpenRequest request);
-    /** Null once it has ended. */
+    /** Returns null if the request has ended. */
     OpenRequest *find(RequestNumber number);
     std::map<RequestNumber, OpenRequest> &all() { return m_requests; }
     std::size_t size() const { return m_requests.size(); }
 
-    /** The server's whole answer goes to the caller. */
+    /** Sends the server's complete answer to the caller. */
     void deliver(Step &step, OpenRequest &request, CallNumber call, int status);
-    /** The stream that is being forwarded ended in good order. */
+    /** Completes the forwarded stream. */
     void endStream(Step &step, OpenRequest &request);
-    /** The stream that is being forwarded cannot go on. */
+    /** Aborts the forwarded stream. */
     void breakStream(Step &step, OpenRequest &request, const std::string &why);
-    /** It has not run and will not; @p retryAfter tells when coming back may help. */
+    /**
+     * Rejects a request that was not executed.
+     * @param retryAfter The delay after which the caller should retry.
+     */
     void reject(Step &step, OpenRequest &request, Duration retryAfter, const std::string &why);
     struct Refusal
     {
         int status = 0;
         RequestOutcome outcome = RequestOutcome::Rejected;
-        std::optional<Duration> retryAfter; ///< Nothing where coming back is of no use.
+        std::optional<Duration> retryAfter; ///< Nothing if a retry is useless.
         std::string why;
     };
-    /** It has not run and will not. */
+    /** Rejects a request that was not executed, with the given status. */
     void refuse(Step &step, OpenRequest &request, const Refusal &refusal);
-    /** It may have run: 502, or 504 where time has run out. */
+    /** Fails a request that may have been executed, with status 502, or 504 after a timeout. */
     void failInDoubt(Step &step, OpenRequest &request, int status, const std::string &why);
-    /** The caller left; nothing is answered. */
+    /** Removes a request whose caller has disconnected, without an answer. */
     void dropLeft(Step &step, OpenRequest &request);
 
-    /** What requests that ended without a server's work had taken of quotas; once. */
+    /** Quota units of a request that ended without being executed. */
     struct UnusedQuota
     {
         OrganisationName organisation;
@@ -161,7 +168,7 @@
     std::vector<UnusedQuota> m_unusedQuota;
 };
 
-/** Whether the server gets the caller's bytes with it. */
+/** Returns whether calls of @p kind send the request body to the server. */
 bool carriesRequest(CallKind kind);
 
 const char *nameOf(Stage stage);
@@ -169,10 +176,10 @@
 const char *nameOf(CallKind kind);
 const char *nameOf(CallEnd end);
 
-/** Why a request is refused that CrashRecords keep from servers; for logs and callers. */
+/** Error for requests whose content is refused by CrashRecords. */
 constexpr char CrashesServers[] = "servers crash under it";
 
-/** Whole milliseconds of @p duration, for logs. */
+/** Returns @p duration in whole milliseconds, for logs. */
 std::string millisecondsText(Duration duration);
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/patienceseen.cpp
+++ b/src/dispatch/patienceseen.cpp
@@ -5,11 +5,11 @@
 namespace {
 
 /**
- * Of the longest: callers of one route were seen to differ by a sixth from the start. Who comes
- * back after some seconds of fourteen has less; who does so sooner passes for new.
+ * Ratio to the longest remaining time below which a request counts as a retry. First attempts of
+ * one route differ by up to a sixth.
  */
 constexpr double ClearlyLess = 0.83;
-/** Names of routes that were dropped would pile up; a fleet has some hundred at a time. */
+/** Bounds the memory used by names of removed routes. */
 constexpr std::size_t MostRoutes = 10'000;
 
 } // namespace
--- a/src/dispatch/patienceseen.h
+++ b/src/dispatch/patienceseen.h
@@ -7,9 +7,8 @@
 namespace indigoway::dispatch {
 
 /**
- * Tells callers who come back from those who come for the first time. Each attempt has an id of its
- * own, but callers hand on what is left of their patience: who has clearly less of it than others
- * on the same route has waited before, and can no longer be served in time.
+ * Detects requests that are retries of a rejected caller. Each attempt has its own id, but callers
+ * send the time they have left, which is clearly shorter after a wait.
  */
 class PatienceSeen
 {
@@ -17,7 +16,7 @@
     bool isComingBack(const OpenRequest &request);
 
 private:
-    std::map<RouteName, Duration> m_most; ///< The longest patience seen, by route.
+    std::map<RouteName, Duration> m_most; ///< Longest remaining time by route.
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/phasebalance.cpp
+++ b/src/dispatch/phasebalance.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 /**
- * Of the square root of the prefill engines' number: prompts come unevenly, and what is kept free
- * for that grows as the root of the load. Three engines are planned to be busy for 0.88 of the
- * time and wait as long as one prompt takes (queue of fixed times, M/D/k); thirty for 0.96.
+ * Prefill headroom as a factor of the square root of the number of engines, so that the mean
+ * queueing time (M/D/k) is about that of one prompt: a utilisation of 0.88 with three engines, 0.96
+ * with thirty.
  */
 constexpr double SpareOfRoot = 0.2;
-/** Of a decode engine's memory that is in use on average when it is full. */
+/** Average memory utilisation of a decode engine that accepts no more requests. */
 constexpr double MemoryInUse = 0.85;
 
 /**
- * An engine is away for seconds, and what is known of the work wavers by some parts in a hundred:
- * without a least gain engines were turned and turned back within a minute.
+ * Minimum throughput ratio that justifies a change, as the estimated work fluctuates and a changing
+ * engine is out of service for seconds.
  */
 constexpr double LeastGain = 1.05;
 
-/** Generations a second that go through both phases. */
+/** Returns the generations per second that both phases can process. */
 double generationsCarried(std::uint32_t prefill, std::uint32_t decode, const EngineTraits &traits,
                           const scheduling::GenerationWork &work)
 {
@@ -31,19 +31,18 @@
     return std::min(usable / work.prefillSeconds, memory / work.decodeTokenSeconds);
 }
 
-/** Loss of one must leave one; a prompt that a decode engine reads takes twice the time. */
-constexpr std::uint32_t FewestPrefill = 2;
-/** Engines announce themselves one by one; the first decision waits until no more come. */
-constexpr Duration SettledAfter = std::chrono::milliseconds(1500);
 /**
- * Later differences come of crashes and releases, most of which are over in this time; an engine
- * that is ordered away meanwhile is missing too.
+ * Keeps one prefill engine if another one fails; prefill on a decode engine takes twice the time.
  */
+constexpr std::uint32_t FewestPrefill = 2;
+/** Delay of the first decision, until all engines are registered. */
+constexpr Duration SettledAfter = std::chrono::milliseconds(1500);
+/** Delay of later decisions; most crashes and releases are over by then. */
 constexpr Duration LastsFor = std::chrono::milliseconds(15000);
-/** Of all engines; a smaller later shift gains less than the engines' time away costs. */
+/** Minimum share of the engines for later changes; a smaller change costs more than it gains. */
 constexpr double LeastShift = 0.25;
 constexpr Duration BetweenBatches = std::chrono::milliseconds(15000);
-/** Beyond the engine's own time: an order may be carried out late, and news of it lags. */
+/** Added to the engine's change time, for late execution and late notification. */
 constexpr Duration ChangeSlack = std::chrono::milliseconds(2500);
 
 } // namespace
@@ -120,7 +119,7 @@
     }
     std::vector<PhaseOrder> orders;
     for (int i = 0; i < std::abs(difference) && !from.empty(); ++i) {
-        // From the domain that has the most of them, so that each keeps some.
+        // Chooses from the domain with the most candidates, so that each domain keeps some.
         const auto one = std::max_element(from.begin(), from.end(), [&](auto *a, auto *b) {
             return left[a->domain] < left[b->domain];
         });
--- a/src/dispatch/phasebalance.h
+++ b/src/dispatch/phasebalance.h
@@ -12,21 +12,18 @@
 namespace indigoway::dispatch {
 
 /**
- * How many of a service's engines should prefill. Decode memory and prefill time are given out
- * from the same engines; where one phase has more than its part, the other one binds while the
- * first idles. It goes by the work that generations were seen to make. Until there is such work,
- * the engines stay as their operators set them up: an estimate from another fleet turned engines
- * before the traffic that had to be turned back in it.
+ * Computes how many engines of a service should prefill, from the work of observed generations.
+ * Without observations the engines keep their configured phases.
  */
 class PhaseBalance
 {
 public:
     void learn(const ServiceName &service, const scheduling::GenerationWork &work);
-    /** Null if nothing has been learnt. */
+    /** Returns null if no work has been observed. */
     const scheduling::GenerationWork *work(const ServiceName &service) const;
     /**
-     * Engines of @p all that should prefill for @p work: those that let most generations through.
-     * It stays @p present where a change would gain little.
+     * Returns the number of engines, out of @p all, that should prefill for the highest throughput
+     * with @p work. Returns @p present if a change would gain little.
      */
     static std::uint32_t prefillWanted(std::uint32_t all, std::uint32_t present,
                                        const EngineTraits &traits,
@@ -36,7 +33,7 @@
     std::map<ServiceName, scheduling::GenerationWork> m_work;
 };
 
-/** An order to be given now. */
+/** An order for an engine to change its phase. */
 struct PhaseOrder
 {
     const AnnouncedServer *server = nullptr;
@@ -44,34 +41,35 @@
 };
 
 /**
- * Which engines are to change their phase, and when. An engine that changes is away for seconds,
- * so that only a difference that lasts is acted on, and not again before its effect shows.
+ * Plans which engines change their phase. A changing engine is out of service for seconds, so only
+ * lasting differences are corrected, and the effect of earlier orders is awaited.
  */
 class PhaseOrders
 {
 public:
     /**
-     * The orders that are due. They count as given only if @p mayGive: a node whose right to give
-     * them is not on record yet finds out so that it needs that.
+     * Returns the orders that are due.
+     * @param mayGive Whether the orders are recorded as given. A node without a registered order
+     * right passes false to check whether it needs one.
      */
     std::vector<PhaseOrder> decide(TimePoint now, const Service &service,
                                    const ServerDirectory &servers, const PhaseBalance &balance,
                                    bool mayGive = true);
-    /** The engine has refused; it stays what it is for now. */
+    /** Cancels the order of an engine that refused it. */
     void refused(const ServerName &server);
-    /** The phase that it was last ordered to take. */
+    /** Returns the phase of the last order. */
     EnginePhase orderedPhase(const ServerName &server) const;
-    /** Changing, or perhaps so: gets no new work. */
+    /** Returns whether the engine may be changing its phase; it gets no new work. */
     bool isChanging(const ServerName &server, TimePoint now) const;
-    /** For how long yet; 0 if it is not. */
+    /** Returns the remaining time of the change; 0 if there is none. */
     Duration changesFor(const ServerName &server, TimePoint now) const;
-    /** The engines that got an order and may still be changing. */
+    /** Removes changes that have ended. */
     void forget(TimePoint now);
 
 private:
     struct PerService
     {
-        int difference = 0; ///< Prefill engines beyond those wanted.
+        int difference = 0; ///< Prefill engines beyond the wanted number.
         TimePoint since {};
         std::size_t engines = 0;
         std::optional<TimePoint> lastBatch;
--- a/src/dispatch/phasechanges.cpp
+++ b/src/dispatch/phasechanges.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/** An engine takes an order at once; carrying it out is seen in its entry. */
+/** Engines answer orders immediately; the change itself is seen in the announcement. */
 constexpr Duration OrderSilence = std::chrono::milliseconds(1000);
-/** After the token was last known to hold: until an engine's report has come back. */
+/** Validity of a token after its last check; covers the report call. */
 constexpr Duration TokenHolds = std::chrono::milliseconds(300);
-/** One datagram; what engines are turned for changes over seconds. */
+/** Interval between requests for the work of generations. */
 constexpr Duration AskForWorkEvery = std::chrono::milliseconds(500);
 
 } // namespace
@@ -56,7 +56,7 @@
 void PhaseChanges::reportEnded(Step &step, const OpenCall &call, const CallEnded &event)
 {
     m_state.tracker.callDropped(call.server.name);
-    // An engine that started again meanwhile counts its orders anew, and its phase is another.
+    // A restarted engine has a new order count and possibly another phase.
     const bool isSameLife = event.report
         && (event.report->startedAt == 0 || call.server.startedAt == 0
             || event.report->startedAt == call.server.startedAt);
@@ -119,7 +119,7 @@
     } else {
         tellChanging(step, call.server.name, isTaken);
     }
-    // An order without an answer may be carried out yet: the engine counts as changing.
+    // An order without an answer may still be executed, so the engine counts as changing.
     step.add(RecordDecision {"order_ended",
                              {},
                              "server=" + call.server.name.text() + " end=" + nameOf(event.end)
--- a/src/dispatch/phasechanges.h
+++ b/src/dispatch/phasechanges.h
@@ -6,9 +6,9 @@
 namespace indigoway::dispatch {
 
 /**
- * Has engines change their phase where one phase binds and the other idles. An order is given in
- * two calls: the engine's report tells how many orders it has taken, and the order is void if it
- * has taken another one since. Only the node that holds the right to give orders may.
+ * Orders engines to change their phase when one phase limits throughput and the other is idle. An
+ * order takes two calls: the report returns the number of accepted orders, and the order is void if
+ * that number has changed. Only the holder of the order right may give orders.
  */
 class PhaseChanges
 {
@@ -18,37 +18,41 @@
     { }
 
     /**
-     * Asks the scheduler what generations take of the engines; for the node that is to give orders.
-     * Grants tell it too, but in a large fleet one node gets a grant every few seconds.
+     * Requests the work of generations from the scheduler. The grants to this node carry it too,
+     * but are rare in a large fleet.
      */
     void askForWork(Step &step, const RouteTable &table);
-    /** Gives the orders that are due if it has a token, which proves the right to, now. */
+    /**
+     * Sends the orders that are due.
+     * @param token The fencing token; without it, due orders only set wantsToken().
+     */
     void orderPhases(Step &step, const RouteTable &table, std::optional<std::uint64_t> token);
-    /** Orders are due and there was no token for them. */
+    /** Returns whether orders are due but the token is missing. */
     bool wantsToken() const { return m_wantsToken; }
-    /** Looks over all engines so far. */
+    /** Returns the number of evaluations of all engines so far. */
     std::uint64_t looks() const { return m_looks; }
     void reportEnded(Step &step, const OpenCall &call, const CallEnded &event);
     void orderEnded(Step &step, const OpenCall &call, const CallEnded &event);
-    /** The engine is changing, or perhaps so: it gets no new work. */
+    /** Returns whether the engine may be changing its phase; it gets no new work. */
     bool isChanging(const ServerName &server, TimePoint now) const
     {
         return m_orders.isChanging(server, now);
     }
-    /** What the scheduler has learnt of the service's generations. */
+    /** Updates the work of the service's generations, as measured by the scheduler. */
     void learn(const ServiceName &service, const scheduling::GenerationWork &work)
     {
         m_balance.learn(service, work);
     }
 
 private:
-    /** It has not taken the order, and keeps its phase. */
+    /** Cancels the order of an engine that keeps its phase. */
     void stays(Step &step, const ServerName &server);
     /**
-     * The platform tells of a new phase seconds after the order. Until then the engine refuses,
-     * looks empty for that, and draws claims: one engine lost the prompts of a whole prefill pool.
-     * Told twice, before the order and after it, since a datagram may be lost, and since only an
-     * engine that has accepted is believed to be in its new phase before it is announced there.
+     * Reports an ordered change to the scheduler, as the platform announces it seconds later. Until
+     * then the engine refuses work, looks idle and attracts claims. The report is sent before and
+     * after the order because datagrams may be lost.
+     * @param isAccepted Whether the engine has accepted the order; only then the scheduler assumes
+     * the new phase.
      */
     void tellChanging(Step &step, const ServerName &server, bool isAccepted) const;
     std::string workText(const ServiceName &service) const;
@@ -59,7 +63,7 @@
     bool m_wantsToken = false;
     std::uint64_t m_looks = 0;
     std::uint64_t m_orderToken = 0;
-    TimePoint m_orderTokenAt {}; ///< When the token was known to hold.
+    TimePoint m_orderTokenAt {}; ///< Last time at which the token was valid.
     TimePoint m_workAskedAt {};
 };
 
--- a/src/dispatch/plainflow.cpp
+++ b/src/dispatch/plainflow.cpp
@@ -9,16 +9,15 @@
 constexpr int FirstServerFailure = 500;
 constexpr int BadGateway = 502;
 /**
- * Of an idempotent request's target: a server that is silent for longer is given up and another
- * one asked. Healthy answers take a fifth of the target at the median; at twice the target the
- * caller's second half of patience is still there for the other server.
+ * Idle timeout of an idempotent request in multiples of its route's target; leaves time for a retry
+ * at another server.
  */
 constexpr int SilenceInTargets = 2;
-/** Calls that were never sent or turned away, before the request is rejected. */
+/** Maximum of servers tried by calls that were not executed. */
 constexpr std::size_t MostServersTried = 4;
-/** A plain service that turns work away has a full queue of some hundred milliseconds. */
+/** Retry delay after a rejection; about the queueing time of a full server. */
 constexpr Duration ComeBackAfter = std::chrono::milliseconds(250);
-/** Preference for the own failure domain, in the score's milliseconds: the way there and back. */
+/** Cost of a server in another failure domain: the network round trip. */
 constexpr double OtherDomainMilliseconds = 3;
 
 } // namespace
@@ -31,7 +30,7 @@
 
 void PlainFlow::streamBegan(Step &step, OpenRequest &request, const StreamBegan &event)
 {
-    // A plain service may stream, too; it is passed on as it comes.
+    // Plain services may stream, too.
     request.isForwarding = true;
     request.firstAnswer = step.now;
     step.add(ForwardStream {request.facts.request, event.call});
@@ -108,8 +107,8 @@
     if (mayRunAgain(request)) {
         call.silentFor = request.route->target * SilenceInTargets;
     }
-    // A kept connection can die as the request is written; whether it was read is not known then,
-    // and what must not run twice could not be sent again. A new one costs a round trip.
+    // A reused connection may close during the write, which leaves the execution in doubt and rules
+    // out a retry.
     call.needsNewConnection = !isIdempotent;
     request.tried.insert(server->name);
     m_state.startFor(step, request, *server, std::move(call));
@@ -128,7 +127,7 @@
     double bestScore = 0;
     const double typical = m_state.tracker.typicalMilliseconds(all);
     auto preferred = m_state.tracker.preferred(fresh, step.now);
-    // Between servers that look alike each node must not take the same one.
+    // Prevents all nodes from choosing the same of several equal servers.
     std::shuffle(preferred.begin(), preferred.end(), step.random);
     for (const AnnouncedServer *server : preferred) {
         double score = m_state.tracker.expectedMilliseconds(server->name, typical, step.now);
@@ -170,7 +169,7 @@
 void PlainFlow::turnedAway(Step &step, OpenRequest &request, const std::string &why)
 {
     if (request.runs > 0) {
-        // An earlier call of this idempotent request may have run.
+        // An earlier call of this idempotent request may have been executed.
         m_state.requests.failInDoubt(step, request, BadGateway, why);
         return;
     }
--- a/src/dispatch/plainflow.h
+++ b/src/dispatch/plainflow.h
@@ -5,8 +5,8 @@
 namespace indigoway::dispatch {
 
 /**
- * Requests to plain services: one call, and for idempotent requests another one at another
- * server if the first fails.
+ * Handles requests to plain services with one call; idempotent requests are retried at another
+ * server.
  */
 class PlainFlow : public RequestFlow
 {
--- a/src/dispatch/retryallowance.cpp
+++ b/src/dispatch/retryallowance.cpp
@@ -42,7 +42,7 @@
     }
     const double age = static_cast<double>((now - m_startedAt).count())
         / static_cast<double>(m_bounds.window.count());
-    // Nothing in the first half of a window, all of it after one and a half.
+    // Rises from none after half a window to all after one and a half.
     const double part = std::clamp(age - 0.5, 0.0, 1.0);
     return part * static_cast<double>(m_bounds.slack) / m_nodes;
 }
--- a/src/dispatch/retryallowance.h
+++ b/src/dispatch/retryallowance.h
@@ -7,37 +7,38 @@
 
 namespace indigoway::dispatch {
 
-/** How many requests may be sent to a service once more; a bound over all nodes together. */
+/** Limits of the retries to a service, for all nodes together. */
 struct RetryBounds
 {
-    double ratio = 0.2; ///< Of the requests in a window.
+    double ratio = 0.2; ///< Retries per request in a window.
     Duration window = std::chrono::seconds(10);
-    std::uint32_t slack = 50; ///< Beyond the ratio, of all nodes together.
+    std::uint32_t slack = 50; ///< Retries beyond the ratio in a window.
 };
 
 /**
- * One node's part of a service's retries. The ratio counts over the node's own requests, which
- * sums up over the nodes by itself; the slack is divided by the number of nodes. Retries that
- * multiply while a service fails for everybody would give it several times its load.
+ * One node's share of a service's retry budget. The ratio applies to the node's own requests; the
+ * slack is divided by the number of nodes.
  *
- * The window is over all nodes and their lives, and a node knows only its own. Two failures would
- * hand out the slack more than once: nodes that die have used theirs in the window already, so a
- * smaller number of nodes counts only after a whole window; and a node that was restarted may have
- * used its share in its life before, so its slack comes with time.
+ * The window spans restarts and failures of nodes, so that the slack is not used twice: a lower
+ * number of nodes takes effect after a whole window, and a restarted node gains its slack over
+ * time.
  */
 class RetryAllowance
 {
 public:
-    /** @p startedAt: of this node's life. */
+    /** @param startedAt The start time of this process. */
     RetryAllowance(RetryBounds bounds, TimePoint startedAt);
 
     void setNodes(std::uint32_t nodes, TimePoint now);
     void requestSent(TimePoint now);
-    /** Takes one retry; false if none is left in the window that ends now. */
+    /**
+     * Takes one retry.
+     * @return False if none is left in the window that ends at @p now.
+     */
     bool take(TimePoint now);
 
 private:
-    /** Part of the bound that is used: nodes do not see each other's windows at the same time. */
+    /** Safety factor on the budget, as the windows of the nodes are not synchronised. */
     static constexpr double UsedPart = 0.8;
 
     void forget(TimePoint now);
@@ -45,7 +46,7 @@
 
     RetryBounds m_bounds;
     TimePoint m_startedAt;
-    std::uint32_t m_nodes = 0; ///< The most of the window; 0: not known yet.
+    std::uint32_t m_nodes = 0; ///< Highest number within the window; 0 if unknown.
     TimePoint m_mostNodesAt {};
     std::deque<TimePoint> m_requests;
     std::deque<TimePoint> m_retries;
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -10,14 +10,13 @@
 
 using namespace scheduling;
 
-/** A way there and back takes some milliseconds; the scheduler may have a few things to do first.
- */
+/** Round trip time with a margin for a busy scheduler. */
 constexpr Duration RepeatUnanswered = std::chrono::milliseconds(80);
-/** A claim that is known to wait; its grant may have been lost. */
+/** Interval for queued claims, whose grant may have been lost. */
 constexpr Duration RepeatQueued = std::chrono::milliseconds(150);
-/** One datagram in twenty may be lost on a bad link; four in a row are no accident. */
+/** Consecutive losses that rule out random datagram loss. */
 constexpr std::uint32_t MostUnanswered = 3;
-/** A killed node is back after seconds, or another one takes over. */
+/** Time until a killed node restarts or another one takes over. */
 constexpr Duration LeftAlone = std::chrono::milliseconds(1000);
 
 } // namespace
@@ -101,7 +100,7 @@
     const auto it = m_open.find(claim);
     if (it == m_open.end()) {
         if (std::holds_alternative<ClaimGranted>(message)) {
-            // Granted to a request that has left meanwhile, or that went its own way.
+            // The request has ended, or this node chose engines for it.
             const bool isHeld = std::ranges::any_of(
                 requests.all(), [claim](const auto &one) { return one.second.claim == claim; });
             if (!isHeld) {
@@ -132,8 +131,8 @@
 std::vector<RequestNumber> SchedulerClaims::tick(Step &step, OpenRequests &requests)
 {
     if (!m_isTold) {
-        // Not only with the next claim: with hundreds of nodes each has one every few seconds, and
-        // until all have told, the new scheduler gives out memory that is in use.
+        // Waiting for the next claim could take seconds, in which the new scheduler would grant
+        // memory in use.
         m_isTold = true;
         tellAllHeld(step, requests);
     }
@@ -180,7 +179,7 @@
     std::vector<RequestNumber> requests;
     for (const auto &[number, open] : m_open) {
         requests.push_back(open.request);
-        // If it is heard after all, it must not hold room for them.
+        // A scheduler that is still running must not hold capacity for these claims.
         send(step, ClaimEnded {number, ClaimEnd::Dropped});
     }
     m_open.clear();
--- a/src/dispatch/schedulerclaims.h
+++ b/src/dispatch/schedulerclaims.h
@@ -10,36 +10,40 @@
 namespace indigoway::dispatch {
 
 /**
- * This node's claims at the node that schedules the engines. Datagrams may be lost and the
- * scheduler may die, stand still or be cut off at any moment: each claim is sent again until it is
- * answered, and a scheduler that is silent is left alone for a while, in which this node chooses
- * engines by itself.
+ * Manages this node's claims at the scheduler node. Datagrams may be lost and the scheduler may
+ * fail, so claims are repeated until they are answered. After repeated silence the scheduler is not
+ * used for a while, and this node chooses engines itself.
  */
 class SchedulerClaims
 {
 public:
     /**
-     * Another node, or another life of the same one, schedules from now on; nothing if none is
-     * known. It is told at the next tick what this node's requests hold.
+     * Sets the scheduler, or nothing if none is known. The reservations of this node are reported
+     * to it at the next tick.
      */
     void setScheduler(std::optional<NodeName> name);
     bool isUsable(TimePoint now) const { return m_scheduler && now >= m_silentUntil; }
 
-    /** Claims engines for @p request, which has none yet. */
+    /** Sends a claim for @p request, which must not have one. */
     void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration waitsAtMost);
-    /** Tells of room that this node found by itself. */
+    /** Reports a reservation that this node made without a claim. */
     void tellHeld(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, const OpenRequest &request, bool isDone, bool isReachable);
-    /** The request gives up its claim, or what it was granted. */
+    /** Ends the claim of @p request and releases what it was granted. */
     void end(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
 
     /**
-     * The scheduler has answered; the request whose claim it decided, if any still waits.
-     * @p life: of the scheduler. A new one is told what the requests of @p requests hold.
+     * Handles an answer of the scheduler. All reservations in @p requests are reported to a new
+     * incarnation.
+     * @param life The incarnation of the scheduler.
+     * @return The request whose claim was decided, if it still waits.
      */
     std::optional<RequestNumber> answered(Step &step, const scheduling::FromScheduler &message,
                                           Incarnation life, OpenRequests &requests);
-    /** Sends again what was not answered; the requests whose claims are void if it is silent. */
+    /**
+     * Repeats unanswered claims.
+     * @return The requests whose claims were withdrawn because the scheduler is silent.
+     */
     std::vector<RequestNumber> tick(Step &step, OpenRequests &requests);
     std::optional<TimePoint> nextTick() const;
     std::size_t open() const { return m_open.size(); }
@@ -50,7 +54,7 @@
         RequestNumber request;
         scheduling::Claim message;
         TimePoint sentAt {};
-        std::uint32_t unanswered = 0; ///< Times it was sent since the last answer to it.
+        std::uint32_t unanswered = 0; ///< Repetitions since the last answer.
     };
 
     void tellAllHeld(Step &step, OpenRequests &requests);
@@ -59,10 +63,10 @@
     void send(Step &step, scheduling::ToScheduler message) const;
 
     std::optional<NodeName> m_scheduler;
-    bool m_isTold = true; ///< The scheduler, of what this node's requests hold.
-    Incarnation m_life;   ///< Of the scheduler that was last heard.
+    bool m_isTold = true; ///< Whether the reservations of this node were reported to the scheduler.
+    Incarnation m_life;   ///< Of the scheduler that answered last.
     TimePoint m_silentUntil {};
-    std::map<scheduling::ClaimId, Open> m_open; ///< Not decided yet.
+    std::map<scheduling::ClaimId, Open> m_open; ///< Claims without a decision.
     std::uint64_t m_last = 0;
 };
 
--- a/src/dispatch/servercalls.h
+++ b/src/dispatch/servercalls.h
@@ -9,7 +9,7 @@
 
 namespace indigoway::dispatch {
 
-/** A call that is under way; it may outlive its request. */
+/** A call in progress, which may outlast its request. */
 struct OpenCall
 {
     RequestNumber request;
@@ -18,7 +18,7 @@
     TimePoint started {};
 };
 
-/** The calls to backend servers, numbered, with what the tracker is told of them. */
+/** Numbers the calls to backend servers and reports them to the tracker. */
 class ServerCalls
 {
 public:
@@ -26,10 +26,10 @@
         : m_tracker(tracker)
     { }
 
-    /** Fills in number, server and address of @p call and starts it. */
+    /** Sets number, server and address of @p call and starts it. */
     CallNumber start(Step &step, const AnnouncedServer &server, StartCall call);
     void abandon(Step &step, CallNumber call);
-    /** Removes it; nothing if it was abandoned before. */
+    /** Removes and returns the call, or nothing if it was abandoned. */
     std::optional<OpenCall> take(CallNumber call);
     const OpenCall *find(CallNumber call) const;
 
--- a/src/dispatch/servertracker.cpp
+++ b/src/dispatch/servertracker.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-/** Weight of one sample in the moving averages: some ten samples make up the average. */
+/** Weight of one sample in the moving averages. */
 constexpr double SampleWeight = 0.2;
-/** Assumed where no server of a service has answered yet; only the comparison matters. */
+/** Answer time for a service without any samples; only relative values matter. */
 constexpr double UnknownMilliseconds = 30;
-/** Of the typical time, for a server that was not seen of late: it must look worth a try. */
+/** Factor on the typical time for a server without recent samples, so that it is tried. */
 constexpr double UnseenPart = 0.5;
-/** What was seen loses half its weight in this time, so that a server that was slow is tried. */
+/** Half-life of the samples, so that slow servers are tried again. */
 constexpr Duration HalfLife = std::chrono::seconds(3);
-/** How long a load that a server told is taken for its present one. */
+/** Time during which a reported load is considered current. */
 constexpr Duration LoadFresh = std::chrono::milliseconds(300);
-/** A failure in a row after which a server is avoided; one alone happens to healthy ones. */
+/** Consecutive failures after which a server is avoided. */
 constexpr std::uint32_t FailuresToAvoid = 2;
 constexpr Duration FirstAvoidance = std::chrono::milliseconds(800);
-/** Bounds the time until a server that came back at the same name is found again. */
+/** Limits the time until a restarted server is used again. */
 constexpr Duration LongestAvoidance = std::chrono::milliseconds(3200);
 constexpr std::uint32_t MostDoublings = 2;
 
@@ -128,8 +128,7 @@
             good.push_back(server);
         }
     }
-    // Where most seem bad it is likely to be this node's own link; avoiding them would only
-    // crowd the rest.
+    // If most servers fail, this node's own network is the likely cause.
     return good.size() * 2 < servers.size() ? servers : good;
 }
 
@@ -165,7 +164,7 @@
         const double beyondSlots = all > load->slots ? all - load->slots : 0;
         others = std::max(others, beyondSlots + 0.1 * all);
     }
-    // A failure costs its caller a second try, several times the time of the first.
+    // A failure costs a retry, several times the answer time.
     constexpr double FailureCost = 4;
     return base * (1 + others) * (1 + FailureCost * weight * seen.failureShare);
 }
--- a/src/dispatch/servertracker.h
+++ b/src/dispatch/servertracker.h
@@ -11,39 +11,46 @@
 namespace indigoway::dispatch {
 
 /**
- * What this node has seen of each backend server by its own calls. Health answers are not asked
- * for: a server can answer them well and fail its requests, and each of them takes a slot.
+ * Keeps statistics of backend servers from this node's own calls. Health checks are not used: a
+ * server can pass them and fail its requests, and each one occupies a slot.
  */
 class ServerTracker
 {
 public:
     void callStarted(const ServerName &server);
-    /** The call ended without an outcome of its own: its caller left, or it was given up. */
+    /** Records the end of a call without a result for the statistics. */
     void callDropped(const ServerName &server);
-    /** Answered after @p took, well or with a failure of the server's own. */
+    /**
+     * Records an answer.
+     * @param took The answer time.
+     * @param wasWell False for a server error.
+     */
     void answered(const ServerName &server, Duration took, bool wasWell, TimePoint now);
-    /** Turned away, which says nothing of its health. */
+    /** Records a rejection, which does not indicate a failure. */
     void turnedAway(const ServerName &server);
-    /** Broke off, or was silent for too long. */
+    /** Records an aborted or timed-out call. */
     void failed(const ServerName &server, TimePoint now);
-    /** Took no connection: avoided at once, since no healthy server does so. */
+    /** Records a failed connection attempt. The server is avoided at once. */
     void unreachable(const ServerName &server, TimePoint now);
     void loadTold(const ServerName &server, const ServerLoad &load, TimePoint now);
     void forget(const ServerName &server);
 
     std::uint32_t openCalls(const ServerName &server) const;
     std::optional<ServerLoad> freshLoad(const ServerName &server, TimePoint now) const;
-    /** Whether new work should go elsewhere if there is an elsewhere. */
+    /** Returns whether new work should go to other servers if there are any. */
     bool isAvoided(const ServerName &server, TimePoint now) const;
-    /** @p servers without the avoided ones; all of them if that leaves less than half. */
+    /**
+     * Returns @p servers without the avoided ones, or all of them if fewer than half would remain.
+     */
     std::vector<const AnnouncedServer *>
     preferred(const std::vector<const AnnouncedServer *> &servers, TimePoint now) const;
-    /** Mean time of an answer over those of @p servers that have given one. */
+    /** Returns the mean answer time of @p servers, in milliseconds. */
     double typicalMilliseconds(const std::vector<const AnnouncedServer *> &servers) const;
     /**
-     * Expected time to a good answer of a new call, in milliseconds, from the times, failures
-     * and calls seen. For comparing servers of one service, whose @p typical time it takes for
-     * one that was not seen, or not for long: as half, so that it is tried.
+     * Returns the expected time to a successful answer to a new call, in milliseconds, from the
+     * answer times, failures and open calls. For comparisons between servers of one service.
+     * @param typical The mean answer time of the service; half of it is assumed for servers without
+     * recent samples.
      */
     double expectedMilliseconds(const ServerName &server, double typical, TimePoint now) const;
 
@@ -51,7 +58,7 @@
     struct Seen
     {
         std::uint32_t open = 0;
-        double milliseconds = 0; ///< Moving average; 0: nothing was seen.
+        double milliseconds = 0; ///< Moving average; 0 without samples.
         double failureShare = 0; ///< Moving average.
         std::uint32_t failuresInRow = 0;
         TimePoint lastSample {};
--- a/src/routing/routetable.cpp
+++ b/src/routing/routetable.cpp
@@ -48,7 +48,7 @@
         return nullptr;
     }
     const auto &byPrefix = hostRoutes->second.byPrefix;
-    // A prefix ends with a slash, so only the path's parts up to a slash can match.
+    // Prefixes end with a slash, so only the parts of the path up to a slash can match.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
          slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
         const auto found = byPrefix.find(std::string(path.substr(0, slash + 1)));
--- a/src/routing/routetable.h
+++ b/src/routing/routetable.h
@@ -9,7 +9,7 @@
 
 namespace indigoway {
 
-/** One version of the desired state, indexed for lookups. Immutable: open requests share it. */
+/** One version of the configuration, indexed for lookups. Immutable, as open requests share it. */
 class RouteTable
 {
 public:
@@ -19,20 +19,20 @@
     const CallerLimits &limits() const { return m_state.limits; }
     const std::vector<Route> &routes() const { return m_state.routes; }
     const std::map<ServiceName, Service> &services() const { return m_state.services; }
-    /** The route of @p host with the longest prefix that begins @p path, or null. */
+    /** Returns the route of @p host with the longest prefix of @p path, or null. */
     const Route *find(std::string_view host, std::string_view path) const;
-    /** Null if the service is not declared. */
+    /** Returns null if the service is not configured. */
     const Service *service(const ServiceName &name) const;
-    /** Whether callers have to show a key, except on open routes. */
+    /** Returns whether callers must present a key, except on open routes. */
     bool wantsKeys() const { return m_state.wantsKeys; }
     const std::vector<Organisation> &organisations() const { return m_state.organisations; }
-    /** Null if no organisation holds that key. */
+    /** Returns the organisation that owns @p key, or null. */
     const Organisation *organisationWith(const KeyDigest &key) const;
-    /** Null if it is not declared. */
+    /** Returns null if the organisation is not configured. */
     const Organisation *organisation(const OrganisationName &name) const;
 
 private:
-    /** A digest is as good as random; its first bytes will do. */
+    /** Uses the first bytes of the digest, which are uniformly distributed. */
     struct DigestHash
     {
         std::size_t operator()(const KeyDigest &digest) const;
@@ -45,17 +45,19 @@
 
     RoutingState m_state;
     std::unordered_map<std::string, HostRoutes> m_hosts;
-    std::unordered_map<KeyDigest, std::size_t, DigestHash> m_keys; ///< Index of its organisation.
+    std::unordered_map<KeyDigest, std::size_t, DigestHash>
+        m_keys; ///< Index into the organisations.
     std::unordered_map<OrganisationName, std::size_t> m_organisations;
 };
 
 /**
- * Picks one of @p route's services by weight. @p entropy is the request's own randomness; null
- * if no share has a weight.
+ * Picks one of the services of @p route by weight.
+ * @param entropy A random number of the request.
+ * @return Null if all weights are 0.
  */
 const ServiceName *pickService(const Route &route, std::uint64_t entropy);
 
-/** @p host in lower case and without a port, as routes name it. */
+/** Returns @p host in lower case and without a port. */
 std::string canonicalHost(std::string_view host);
 
 } // namespace indigoway
--- a/tests/dispatch/crashrecordstest.cpp
+++ b/tests/dispatch/crashrecordstest.cpp
@@ -55,7 +55,7 @@
         CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
     }
 
-    // A node that starts reads the notes in the order of their keys, and not of their writing.
+    // A starting node reads the records ordered by key, not by revision.
     void theOrderOfAListDoesNotMatter()
     {
         CrashRecords records;
@@ -75,8 +75,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {0}, records.size());
     }
 
-    // Each crash takes other callers' requests along. They must neither fill the memory nor push
-    // out what is refused.
+    // Requests of other callers at crashed servers must neither exceed the memory bound nor evict
+    // refused contents.
     void remembersABoundedNumber()
     {
         CrashRecords records;
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -16,8 +16,8 @@
 const std::string Crashing = "crashes what runs it";
 
 /**
- * Nodes before engines that crash under one content and serve all others. What a node shares, the
- * others know a while later, as by their copies of the store.
+ * Simulates nodes whose engines crash on one content and serve all others. Crash notes reach the
+ * other nodes with a delay, as with replicas of the store.
  */
 class CrashReplay
 {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** A node that starts now, with what the store holds. */
+    /** Starts a node, which reads the stored notes. */
     void addNode()
     {
         m_nodes.push_back(std::make_unique<DispatchPlay>());
@@ -44,7 +44,7 @@
         }
     }
 
-    /** A request from its arrival to its end; how it ended. */
+    /** Runs a request to its end and returns its outcome. */
     std::string request(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         const auto number = arrive(milliseconds, content, node);
@@ -56,7 +56,7 @@
         return play.outcome(number);
     }
 
-    /** Up to its decode call, which is left open. */
+    /** Runs a request up to its decode call, which stays open. */
     StartCall beginDecode(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         arrive(milliseconds, content, node);
@@ -66,7 +66,7 @@
         return play.nextCall(CallKind::Decode);
     }
 
-    /** The server of @p call crashes. */
+    /** Crashes the server of @p call. */
     void crash(int milliseconds, const StartCall &call, std::size_t node = 0)
     {
         DispatchPlay &play = *m_nodes.at(node);
@@ -97,7 +97,7 @@
 
     void collect(int milliseconds, DispatchPlay &play)
     {
-        /** From a write to the store to all copies of it. */
+        /** Time from a write to the store until all replicas have it. */
         constexpr int UntilKnown = 300;
         for (const ShareCrash &crash : play.takeShared()) {
             m_notes.push_back({crash, ++m_revision, milliseconds + UntilKnown});
@@ -141,7 +141,7 @@
             play.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         case CallKind::Probe:
-            // It is back long before the next request.
+            // The server restarts long before the next request.
             play.end(milliseconds, call, CallEnd::NotConnected);
             return;
         default:
@@ -172,12 +172,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A caller sends a summary that no engine survives. It gets a 502 each time and sends it again
-    // under a new id, which makes it a new request for the router; at a second's distance twelve
-    // engines ended so within thirteen seconds, and each took the streams of other callers along:
-    //   outcome=failed ... runs=1 server=i-9c620c6146 prompt=2233 events=0 status=502 closed early
-    //   outcome=failed ... runs=1 server=i-5a6f95c4b4 prompt=2233 events=0 status=502 closed early
-    // The caller must be refused once three engines have ended; all others are served as before.
+    // A caller repeats a request that crashes each engine, under new ids. The content must be
+    // refused after three crashes, while other requests are served.
     void noFourthServerEndsUnderOneRequest()
     {
         CrashReplay replay;
@@ -192,7 +188,7 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // As above, with the attempts at seven nodes by turns. No node sees three crashes by itself.
+    // As above, with the attempts at seven nodes in turn; no node observes three crashes itself.
     void allNodesTogetherLoseThreeServers()
     {
         constexpr std::size_t Nodes = 7;
@@ -209,8 +205,8 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // A burst of the same request, each at another node before that can know of the crash before.
-    // Some more servers end; three seconds after the third none does any more.
+    // Guards against an unbounded number of crashes in a burst of the same request, which arrives
+    // at other nodes before they know of the previous crash.
     void attemptsTooCloseToBeKnownAreFew()
     {
         constexpr std::size_t Nodes = 7;
@@ -224,7 +220,7 @@
             late += i * Between > AllowedUntil ? replay.crashes() - before : 0;
         }
         CPPUNIT_ASSERT_EQUAL(0, late);
-        // A row of three, each with those that were sent before it was known.
+        // Three consecutive crashes, each with the runs that were sent before it was known.
         CPPUNIT_ASSERT(replay.crashes() <= 9);
     }
 
@@ -239,9 +235,8 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // The same content came three times at once. While the third waits for its prompt to be read,
-    // two others end their servers as the second and third in a row. It has not run, and its caller
-    // is told so.
+    // A content reaches the crash limit while another request for it is in prefill. That request
+    // must be rejected as not executed.
     void whatWaitsWhenTheVerdictComesIsNotSent()
     {
         CrashReplay replay;
@@ -261,9 +256,8 @@
         CPPUNIT_ASSERT_EQUAL(2, replay.crashes());
     }
 
-    // A rack loses power with three engines on which the same popular content runs. It has been
-    // on three servers that crashed and is not to blame: all three had it before any crash was
-    // known. Its next caller must be served.
+    // Three servers with the same content lose power at once. The content must not be refused, as
+    // all runs started before any crash was known.
     void aFailureOfManyServersIsOneCrashForAll()
     {
         CrashReplay replay(3);
@@ -279,8 +273,8 @@
         }
     }
 
-    // A caller's report job repeats one content. By chance it shares servers with a request that
-    // ends them, twice; between and after it is answered. It never counts as the culprit.
+    // A content shares servers with crashing requests, but is answered in between. It must never be
+    // refused.
     void anAnswerEndsTheRow()
     {
         CrashReplay replay(2);
@@ -293,7 +287,7 @@
         }
     }
 
-    // The engines are mended meanwhile, or the verdict was wrong: it is not for ever.
+    // A refusal must expire.
     void aRefusalEndsByItself()
     {
         CrashReplay replay;
--- a/tests/dispatch/crashwatchtest.cpp
+++ b/tests/dispatch/crashwatchtest.cpp
@@ -3,7 +3,7 @@
 using namespace indigoway;
 using namespace indigoway::dispatch;
 
-/** "server_crashed" lines tell the verdicts. */
+/** Crashes are observed by "server_crashed" log lines. */
 class CrashWatchTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashWatchTest);
@@ -15,8 +15,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A server crashes with a request in hand. Its connection closes, and it takes no other: the
-    // request may be what ended it.
+    // The connection closes during a request and the server accepts no other one: it has crashed.
     void aServerThatTakesNoConnectionHasCrashed()
     {
         DispatchPlay play;
@@ -31,8 +30,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, play.recorded("server_crashed").size());
     }
 
-    // A link is reset, or a server breaks off one answer of many. It lives, and nothing that it
-    // was working on is to blame.
+    // The link was reset or one answer was aborted: the server is still running.
     void aServerThatTakesAConnectionLives()
     {
         DispatchPlay play;
@@ -60,8 +58,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, play.recorded("server_crashed").size());
     }
 
-    // A server that drains ends when it has waited long enough, also with a stream open. That is
-    // no crash.
+    // A draining server may end with open streams, which is not a crash.
     void aServerThatWasLeavingIsNotProbed()
     {
         DispatchPlay play;
@@ -74,7 +71,7 @@
         CPPUNIT_ASSERT(!play.hasCalls());
     }
 
-    // Only silence: the server or the way to it may be at fault, and the server may run yet.
+    // A timeout does not show whether the server is still running.
     void aSilentServerIsNotProbed()
     {
         DispatchPlay play;
--- a/tests/dispatch/generationflowtest.cpp
+++ b/tests/dispatch/generationflowtest.cpp
@@ -12,7 +12,7 @@
     return words;
 }
 
-/** Two decode and two prefill engines. */
+/** Adds two decode and two prefill engines. */
 void useEngines(DispatchPlay &play)
 {
     play.useRoutes();
@@ -22,7 +22,7 @@
     play.addServer("p2", EnginePhase::Prefill);
 }
 
-/** Takes a request up to its decode call, which is returned. */
+/** Runs a request up to its decode call, which is returned. */
 StartCall playToDecode(DispatchPlay &play, int milliseconds)
 {
     play.grant(milliseconds, play.nextCall(CallKind::Reserve));
@@ -73,8 +73,7 @@
         CPPUNIT_ASSERT(!play.hasCalls());
     }
 
-    // The decode engines are full. A prompt read now would lie in a prefill engine's memory and
-    // lapse before there is room for it: the work would be lost, and done again later.
+    // While decode engines are full, prefills must not start: their KV caches would expire unused.
     void readsNoPromptWithoutRoom()
     {
         DispatchPlay play;
@@ -108,8 +107,7 @@
         CPPUNIT_ASSERT(asked < 120);
     }
 
-    // Load above capacity: requests queue. One that can still meet its target goes before those
-    // that cannot any more, however long they have waited; else all would be late.
+    // Under overload, requests that can still meet their target go before late ones.
     void requestsInTimeGoBeforeLateOnes()
     {
         DispatchPlay play;
@@ -142,9 +140,8 @@
         play.nextCall(CallKind::Whole);
     }
 
-    // The KV cache lapses between prefill and decode, or its engine cannot be reached. Nothing has
-    // run. The reservation is used up, so room is asked for anew, and the decode engine reads the
-    // prompt itself; other requests' prompts go to other prefill engines.
+    // The KV cache is lost between prefill and decode. The decode engine must process the prompt
+    // itself, and other requests must use other prefill engines.
     void aLapsedHandleIsReadByTheDecodeEngine()
     {
         DispatchPlay play;
@@ -167,8 +164,8 @@
         CPPUNIT_ASSERT_EQUAL(text("streamed"), play.outcome(request));
     }
 
-    // Every prefill fails, and so does every decode. Each call that a service gets beyond a
-    // request's first counts against the bound over all nodes; a prefill that was not done is one.
+    // All calls beyond a request's first count against the retry budget, except after a successful
+    // prefill.
     void allCallsBeyondTheFirstAreRetries()
     {
         DispatchPlay play;
@@ -192,8 +189,8 @@
         CPPUNIT_ASSERT(arrivals <= Requests + Requests * bounds.ratio + bounds.slack / 4.0);
     }
 
-    // The engine dies in the middle of a stream that must not run twice. The caller sees a cut
-    // connection, and never an end that looks whole.
+    // An engine fails during a stream that must not be repeated. The caller must see an aborted
+    // connection.
     void aStreamThatMayNotRunAgainIsCut()
     {
         DispatchPlay play;
@@ -206,8 +203,7 @@
         CPPUNIT_ASSERT_EQUAL(text("cut"), play.outcome(request));
     }
 
-    // As above, but the route says that another engine may go on after an event. The caller sees
-    // one stream without a gap.
+    // An engine fails during a resumable stream. The caller must see one stream without a gap.
     void aResumableStreamGoesOnElsewhere()
     {
         DispatchPlay play;
@@ -230,10 +226,8 @@
         CPPUNIT_ASSERT_EQUAL(text("streamed"), play.outcome(request));
     }
 
-    // A caller leaves between prefill and decode, and while it waits. Nothing may stay held for
-    // it: neither the KV cache, nor the reserved room, nor a running call.
-    // Half of a stream has been passed on when its engine crashes. The engine that is to go on
-    // answers with a failure, whole and in good order. The caller must not see the half as a whole.
+    // An engine fails during a stream and the next one answers with an error. The stream must not
+    // end as complete.
     void aFailureInPlaceOfTheRestIsNoEnd()
     {
         DispatchPlay play;
@@ -295,8 +289,7 @@
         CPPUNIT_ASSERT(!whole.reservation.empty());
     }
 
-    // The engine begins to leave between the reservation and the decode. A request sent there
-    // would reach a server that no new work may go to.
+    // An engine starts to drain between reservation and decode. It must not get the request.
     void doesNotUseALeavingEngine()
     {
         DispatchPlay play;
--- a/tests/dispatch/generationlimitstest.cpp
+++ b/tests/dispatch/generationlimitstest.cpp
@@ -14,8 +14,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Two customers' routes aim at 0.9 s and at 5 s. With one wait for both, the second one's
-    // callers would be turned away with most of their time left.
+    // Guards against one queue time for routes with different targets.
     void waitsBelongToTheRoutesTarget()
     {
         m_route.target = std::chrono::milliseconds(900);
@@ -27,8 +26,7 @@
         CPPUNIT_ASSERT(longestWait(goesOn) == std::chrono::seconds(2));
     }
 
-    // A caller with three seconds of patience is told to come back after three and a half, and
-    // does not.
+    // Guards against a retry delay beyond the time that the caller has left.
     void callersComeBackWithinTheirPatience()
     {
         OpenRequest one = request();
--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -16,7 +16,7 @@
     return one;
 }
 
-/** Two requests at once, and one a second. */
+/** A burst of two requests and a rate of one per second. */
 Quota smallQuota()
 {
     return {1, 2, QuotaUnit::Requests, 1};
@@ -45,7 +45,7 @@
 
     static NodeLife keeperLife() { return {NodeName("k"), Incarnation(5)}; }
 
-    /** The keeper is heard, and says of these organisations that they have little left. */
+    /** Delivers a message of the keeper with the organisations that are close to their quota. */
     static void hearKeeper(DispatchPlay &play, int milliseconds,
                            std::vector<OrganisationName> scarce = {})
     {
@@ -91,8 +91,8 @@
         }
     }
 
-    // The store has been away for as long as a key may outlive its end. The caller is told to come
-    // back, since neither "unknown" nor "not found" could be said with certainty.
+    // The configuration is too old to check keys. The caller must be asked to retry, as neither 401
+    // nor 404 would be certain.
     void whoCannotTellSaysSo()
     {
         DispatchPlay play(MostAge);
@@ -106,8 +106,7 @@
         CPPUNIT_ASSERT(!play.hasCalls());
     }
 
-    // Two generations wait for room. The key of one is taken away; when room comes, only the
-    // other one gets it, and the first has been told at once.
+    // A key is revoked while its request is queued. Only this request must be rejected, at once.
     void aKeyThatGoesWhileItsRequestWaitsIsOfNoUse()
     {
         DispatchPlay play(MostAge);
@@ -136,15 +135,15 @@
         CPPUNIT_ASSERT_EQUAL(std::string("delivered"), play.outcome(request));
     }
 
-    // One organisation sends more than its quota. Its excess is refused before anything is asked
-    // of an engine; another organisation's request is served meanwhile.
+    // Excess requests of an organisation must be rejected before any engine is called, without an
+    // effect on other organisations.
     void overItsQuotaNoEngineIsAsked()
     {
         DispatchPlay play(MostAge, {8s, 0, 0});
         play.useRoutes(Repetition::AtMostOnce,
                        {organisation("o1", "k1", smallQuota()), organisation("o2", "k2")});
         play.addServer("d1", EnginePhase::Decode);
-        // No keeper was ever heard: a share of a fourth, from an empty bucket.
+        // Without a keeper the node has a quarter of the quota and starts with no tokens.
         const RequestNumber over = play.arriveWithKey(0, "stream", "k1", 1s, 1000);
         CPPUNIT_ASSERT_EQUAL(429, play.status(over));
         CPPUNIT_ASSERT_EQUAL(std::string("rejected"), play.outcome(over));
@@ -178,8 +177,8 @@
         CPPUNIT_ASSERT(!play.hasCalls());
     }
 
-    // The node that keeps the quotas is killed while a caller's request is being asked for. The
-    // request must not wait for its successor: it is decided by this node's own share.
+    // The keeper fails while a request waits for it. The request must be decided by the node's own
+    // share.
     void aKeeperThatFallsSilentHoldsNobodyUp()
     {
         DispatchPlay play(MostAge, {8s, 0, 40});
@@ -189,7 +188,7 @@
         const RequestNumber asked = play.arriveWithKey(10, "plain", "k1", 1s);
         play.wait(20, 140);
         CPPUNIT_ASSERT(play.status(asked) == 429);
-        // Alone, and with what has come since: a fourth of one a second.
+        // Decided by the node's share: a quarter of one request per second.
         const RequestNumber later = play.arriveWithKey(1100, "plain", "k1", 1s);
         CPPUNIT_ASSERT(play.outcome(later) != "delivered");
         hearKeeper(play, 1200);
@@ -226,18 +225,18 @@
         CPPUNIT_ASSERT_EQUAL(0U, play.told<scheduling::Claim>().priority);
     }
 
-    // While the keeper is silent a node passes a request by its own share, and no server takes it.
-    // Told to the keeper as given back, it would make good what others have used: the quota would
-    // be passed by as much.
+    // Units that the keeper has not counted must not be returned to it, or the quota would be
+    // exceeded.
     void whatTheKeeperHasNotCountedIsNotGivenBack()
     {
         DispatchPlay play(MostAge, {8s, 0, 100});
         play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
         hearKeeper(play, 0);
-        play.wait(10, 2500); // Its heartbeats are not answered any more.
+        play.wait(10, 2500); // The keeper no longer answers heartbeats.
         play.takeToldKeeper();
         const RequestNumber request = play.arriveWithKey(2510, "plain", "k1", 1s);
-        CPPUNIT_ASSERT_EQUAL(503, play.status(request)); // Passed, and there is no server.
+        CPPUNIT_ASSERT_EQUAL(503,
+                             play.status(request)); // Passed the quota, but there is no server.
         for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
             for (const auto &used : std::get<quotas::UsageTold>(message).used) {
                 CPPUNIT_ASSERT(used.units >= 0);
--- a/tests/dispatch/phasebalancetest.cpp
+++ b/tests/dispatch/phasebalancetest.cpp
@@ -23,7 +23,7 @@
     return one;
 }
 
-/** Prompts of 5,200 tokens at 18 us, and some seventy events of 47 ms after each. */
+/** Prompts of 5,200 tokens at 18 us each and about seventy events of 47 ms. */
 const scheduling::GenerationWork Usual {0.125, 16'000};
 
 PhaseBalance usualBalance()
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT_EQUAL(5U, wanted(18, 51'867, Usual));
         const std::uint32_t many = wanted(90, 38'223, Usual);
         CPPUNIT_ASSERT(many > 18 && many < 27);
-        // Of many, fewer are kept free: what prompts vary by evens out.
+        // With more engines the variation of the prompts evens out, so the headroom shrinks.
         CPPUNIT_ASSERT(many < 5 * wanted(18, 38'223, Usual));
     }
 
@@ -84,8 +84,7 @@
         CPPUNIT_ASSERT_EQUAL(2U, wanted(8, 1'000, Usual));
     }
 
-    // The work wavers as it is learnt. An engine that is turned for each wave is away most of the
-    // time.
+    // Guards against changes on each fluctuation of the estimated work.
     void aSmallGainTurnsNoEngine()
     {
         const EngineTraits traits = *service(38'223).engine;
@@ -99,7 +98,7 @@
         CPPUNIT_ASSERT(wanted(90, 38'223, {0.125, 32'000}) < wanted(90, 38'223, Usual));
     }
 
-    // The traffic has not begun, and nobody knows these engines yet.
+    // Without observed work the engines must keep their phases.
     void turnsNoEngineBeforeThereIsWorkToGoBy()
     {
         PhaseOrders orders;
@@ -116,8 +115,7 @@
                              orders.decide(at(62'000), service(51'867), servers, balance).size());
     }
 
-    // Engines announce themselves one by one over some seconds. An order by the first four of
-    // nine would turn the wrong ones, and each is away for seconds as the traffic begins.
+    // Guards against orders before all engines have registered.
     void waitsUntilAllHaveAnnouncedThemselves()
     {
         PhaseOrders orders;
@@ -137,8 +135,7 @@
         CPPUNIT_ASSERT_EQUAL(0, given);
     }
 
-    // Two prefill engines crash and are back after some seconds. Decode engines that were turned
-    // meanwhile would be missing as well, and have to be turned back.
+    // Guards against orders because of prefill engines that restart after a crash.
     void aCrashIsNotAShift()
     {
         PhaseOrders orders;
--- a/tests/dispatch/phasechangestest.cpp
+++ b/tests/dispatch/phasechangestest.cpp
@@ -7,10 +7,10 @@
 
 constexpr std::uint64_t Token = 7;
 const ServiceName Engines("llm");
-/** Prompts take little and answers much: most engines should decode. */
+/** Short prompts and long answers: most engines should decode. */
 const scheduling::GenerationWork MuchDecoding {0.05, 40'000};
 
-/** A node that may give orders, before more prefill engines than MuchDecoding wants. */
+/** Sets up a node with more prefill engines than MuchDecoding needs. */
 void prepare(DispatchPlay &play)
 {
     play.useRoutes();
@@ -44,9 +44,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Two hundred nodes share the callers, and the one that may order engines gets a claim granted
-    // every few seconds. Callers are refused for lack of decode memory all that time, while prefill
-    // engines idle: what it has to know is at the scheduler.
+    // Guards against a holder of the order right that knows no work because it gets few grants.
     void asksTheSchedulerForTheWork()
     {
         DispatchPlay play;
@@ -69,8 +67,8 @@
         CPPUNIT_ASSERT(report.orderedPhase == EnginePhase::Decode);
     }
 
-    // Until orders are due nothing needs to be on record, and a holder that is lost before costs
-    // the next one no wait. What is due without a token is given once there is one.
+    // A token must be requested only when orders are due, and due orders must be given once there
+    // is one.
     void wantsATokenOnceOrdersAreDue()
     {
         DispatchPlay play;
@@ -89,7 +87,7 @@
         CPPUNIT_ASSERT(!play.dispatcher().wantsOrderToken());
     }
 
-    /** Guards against a holder that goes over thousands of engines each time a timer is due. */
+    /** Guards against an evaluation of all engines on each timer. */
     void looksOverAllEnginesNowAndThen()
     {
         DispatchPlay play;
--- a/tests/dispatch/plainflowtest.cpp
+++ b/tests/dispatch/plainflowtest.cpp
@@ -49,9 +49,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {0}, play.dispatcher().open());
     }
 
-    // Sixty nodes and a server that takes 430 connections. If each node keeps eight idle ones, the
-    // server resets new ones, some with a request on them that must not be sent again: its caller
-    // gets a failure though nothing is wrong with the server.
+    // Guards against more idle connections from all nodes than a server allows.
     void keepsItsShareOfTheConnections()
     {
         const auto kept = [](std::uint32_t nodes, std::uint32_t allowed) {
@@ -85,8 +83,8 @@
         CPPUNIT_ASSERT_EQUAL(text("failed 404"), play.outcome(play.arrive(0, "nowhere")));
     }
 
-    // The connection to the server breaks after the request was written. The server may have run
-    // it: the caller must be told neither that it did not run nor be given a second run.
+    // The connection breaks after the request was written. It may have been executed, so it must
+    // neither be retried nor be reported as not executed.
     void runsAtMostOnce()
     {
         DispatchPlay play;
@@ -114,8 +112,8 @@
         CPPUNIT_ASSERT_EQUAL(text("rejected"), play.outcome(request));
     }
 
-    // A server that is down does not take the connection. Nothing was sent, so that trying
-    // another one is no retry and costs nothing of the bound.
+    // A failed connection attempt sends nothing, so another server may be tried without using the
+    // retry budget.
     void sendsAgainWhatWasNotSent()
     {
         DispatchPlay play;
@@ -158,9 +156,8 @@
         CPPUNIT_ASSERT_EQUAL(text("delivered"), play.outcome(request));
     }
 
-    // A server takes requests and never answers, while its health is good. The first call of an
-    // idempotent request is bounded in its silence, so that time is left for another server; the
-    // last call is not, since there is nobody else to ask.
+    // A server accepts requests but never answers. The first call of an idempotent request has an
+    // idle timeout; the last one has none.
     void leavesASilentServer()
     {
         DispatchPlay play;
@@ -177,8 +174,7 @@
         CPPUNIT_ASSERT_EQUAL(text("delivered"), play.outcome(request));
     }
 
-    // Every server fails every request. Without a bound each request would run twice, and the
-    // service would get twice its load when it can bear it least.
+    // All servers fail all requests. Retries must stay within the budget.
     void retriesStayWithinTheBound()
     {
         DispatchPlay play;
@@ -241,8 +237,7 @@
         CPPUNIT_ASSERT(play.nextCall().patience == std::chrono::milliseconds(750));
     }
 
-    // One of three servers breaks off what it is sent. After two failures in a row new requests
-    // go to the others, and after a while one is let through to see whether it is well again.
+    // A server that fails twice in a row must be avoided, and tried again later.
     void avoidsAServerThatFails()
     {
         DispatchPlay play;
@@ -269,8 +264,7 @@
         CPPUNIT_ASSERT(later >= 2);
     }
 
-    // SIGTERM. A request that cannot be done before the process must end is turned away as not
-    // run, and its caller goes to another node at once; taken in, it would be cut.
+    // During a drain, requests that cannot complete before the shutdown must be rejected.
     void turnsLateWorkAwayWhileLeaving()
     {
         DispatchPlay play;
--- a/tests/dispatch/retryallowancetest.cpp
+++ b/tests/dispatch/retryallowancetest.cpp
@@ -45,9 +45,7 @@
         CPPUNIT_ASSERT(taken * static_cast<int>(Nodes) <= 56);
     }
 
-    // Half of the nodes are killed while servers fail, and come back at once. Each new process
-    // has seen no retry yet. If it used its share at once, the service would get twice the
-    // slack within one window, and the operators' bound on retries would be broken.
+    // Guards against restarted nodes that use their share of the slack twice in a window.
     void aRestartedNodeDoesNotUseItsShareTwice()
     {
         RetryAllowance before(Bounds, at(-60'000));
@@ -61,8 +59,7 @@
         CPPUNIT_ASSERT(taken + takeAll(after, at(9'000)) <= 56 / static_cast<int>(Nodes) + 2);
     }
 
-    // Six of eight nodes lose power. The two that are left see a list of two, but the six have
-    // sent their part of the retries a moment ago: the window of all nodes still holds them.
+    // Guards against a larger share while the retries of failed nodes are still in the window.
     void deadNodesHaveUsedTheirShare()
     {
         RetryAllowance allowance(Bounds, at(-60'000));
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint32_t Prompt = 5'000;
 const Incarnation Life(1);
 
-/** Two engines of each phase, and a node that schedules them. */
+/** Sets up two engines of each phase and a scheduler node. */
 void useScheduler(DispatchPlay &play)
 {
     play.useRoutes();
@@ -77,7 +77,7 @@
         granted.readsWhole = true;
         play.reduce(5, SchedulerAnswered {granted, Life});
         const StartCall reserve = play.nextCall(CallKind::Reserve);
-        // Its answer says that there is no room after all; the next engine is not to read whole.
+        // The engine refuses; the prefill on the decode engine does not apply to the next grant.
         play.end(8, reserve, CallEnd::NotExecuted, 503);
         play.told<ClaimEnded>();
         play.reduce(10, SchedulerAnswered {grantOf(play.told<Claim>(), "d1", "p1"), Life});
@@ -97,8 +97,7 @@
         CPPUNIT_ASSERT(second.untilTarget < first.untilTarget);
     }
 
-    // The node that schedules is frozen, or the way to it is cut. Its callers' requests must not
-    // wait for it: within a third of a second this node reserves by itself.
+    // The scheduler does not answer. After about 300 ms the node must reserve engines itself.
     void choosesByItselfWhenTheSchedulerIsSilent()
     {
         DispatchPlay play;
@@ -121,8 +120,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("rejected"), play.outcome(request));
     }
 
-    // The scheduler dies while a stream runs, and another node takes over. It is told of the
-    // memory that the stream holds, or it would give it to somebody else.
+    // A new scheduler must learn of the memory that open streams hold.
     void tellsANewSchedulerWhatIsHeld()
     {
         DispatchPlay play;
@@ -135,16 +133,16 @@
         play.arrive(100, "stream", Prompt);
         CPPUNIT_ASSERT(play.told<RoomHeld>().claim == claim.claim);
         const auto second = play.told<Claim>();
-        // That datagram may have been lost; the new life's first answer has it told again.
+        // The first report may be lost, so the first answer of a new incarnation triggers another
+        // one.
         play.reduce(105, SchedulerAnswered {ClaimQueued {second.claim}, Incarnation(2)});
         const auto held = play.told<RoomHeld>();
         CPPUNIT_ASSERT(held.claim == claim.claim);
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
 
-    // The scheduler dies, and another node takes over. With two hundred nodes each has a request
-    // every few seconds. If they told what they hold only then, the new scheduler would give out
-    // memory in use meanwhile: engines refuse, and callers wait for nothing.
+    // The reservations must be reported without waiting for the next claim, or the new scheduler
+    // would grant memory in use.
     void tellsANewSchedulerBeforeTheNextClaim()
     {
         DispatchPlay play;
@@ -160,8 +158,7 @@
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
 
-    // The caller leaves, and the grant crosses its withdrawal. Room that nobody uses must not
-    // stay granted.
+    // The caller disconnects before the grant arrives. The granted capacity must be released.
     void givesBackAGrantThatComesTooLate()
     {
         DispatchPlay play;
@@ -187,9 +184,7 @@
         CPPUNIT_ASSERT(play.told<Claim>().claim != claim.claim);
     }
 
-    // An engine promises room, and its answer is lost on the way. It is well: taken for dead at the
-    // first such loss, engines that lose a third of their answers are nearly all left out, and
-    // callers are refused while the engines' memory lies free.
+    // The answer to a reservation is lost. The engine must not count as unreachable.
     void aLostReservationIsNoDeadEngine()
     {
         DispatchPlay play;
@@ -205,8 +200,7 @@
         CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::Unreachable);
     }
 
-    // Callers hand on what is left of their patience. One who has clearly less than the others
-    // was turned away before, and those who can still be served in time go first.
+    // Callers with clearly less time left than others of the route are retries.
     void callersWhoComeBackAreToldApart()
     {
         DispatchPlay play;
