--- a/src/dispatch/crashrecords.h
+++ b/src/dispatch/crashrecords.h
@@ -57,8 +57,8 @@
 private:
     struct Entry
     {
-        std::array<std::uint64_t, MostCrashes>
-            crashedAt {}; ///< Store revisions, indexed by count - 1; 0 if there was no crash.
+        /** Store revisions, indexed by count - 1; 0 if there was no crash. */
+        std::array<std::uint64_t, MostCrashes> crashedAt {};
         std::uint64_t answeredAt = 0;
         TimePoint heard {};
     };
--- a/src/dispatch/dispatcheffects.h
+++ b/src/dispatch/dispatcheffects.h
@@ -33,19 +33,21 @@
 struct StartCall
 {
     CallNumber call;
-    RequestNumber
-        request; ///< The request whose body is sent; none for calls that belong to no request.
+    /** The request whose body is sent; none for calls that belong to no request. */
+    RequestNumber request;
     CallKind kind = CallKind::Plain;
     ServerName server;
     std::string instance; ///< Expected server instance; another instance does not execute the call.
     std::string address;
-    OrganisationName organisation;   ///< The calling organisation; empty if there is none.
-    Duration patience {};            ///< Remaining time for the answer, passed on to the server.
-    Duration silentFor {};           ///< Idle timeout, after which the call fails; 0 for none.
-    bool needsNewConnection = false; ///< Set if a reused connection that closes during the write
-                                     ///< would leave the execution in doubt.
-    std::uint32_t connectionsKept =
-        1; ///< Maximum of idle connections from this node to the server.
+    OrganisationName organisation; ///< The calling organisation; empty if there is none.
+    Duration patience {};          ///< Remaining time for the answer, passed on to the server.
+    Duration silentFor {};         ///< Idle timeout, after which the call fails; 0 for none.
+    /**
+     * Set if a reused connection that closes during the write would leave the execution in doubt.
+     */
+    bool needsNewConnection = false;
+    /** Maximum of idle connections from this node to the server. */
+    std::uint32_t connectionsKept = 1;
     std::uint64_t reserveTokens = 0;
     Duration reserveFor {};
     std::string reservation;   ///< Result of Reserve; input of Decode, Whole and Unreserve.
@@ -54,8 +56,8 @@
     bool goesOn = false;       ///< Resumes the stream after the last event forwarded to the caller.
     EnginePhase orderedPhase = EnginePhase::None;
     std::uint64_t fencingToken = 0; ///< For Order: increases with each holder of the order right.
-    std::uint64_t ordersTaken =
-        0; ///< For Order: the order is void if the engine has accepted another one since.
+    /** For Order: the order is void if the engine has accepted another one since. */
+    std::uint64_t ordersTaken = 0;
 };
 
 /** Closes the connection of a call and ignores further results. */
--- a/src/dispatch/engineplacement.cpp
+++ b/src/dispatch/engineplacement.cpp
@@ -6,10 +6,7 @@
 
 /** Time during which an engine that refused a reservation is not asked again. */
 constexpr Duration RefusalPause = std::chrono::milliseconds(60);
-/**
- * A smaller request is tried despite a refusal if it is below the refused size by this divisor's
- * share.
- */
+/** After a refusal, only requests that are smaller by this divisor's part are tried. */
 constexpr std::uint64_t SmallerByParts = 4;
 /** Cost, in prompt tokens, of moving a KV cache to another failure domain. */
 constexpr double OtherDomainTokens = 3000;
--- a/src/dispatch/openrequests.h
+++ b/src/dispatch/openrequests.h
@@ -80,8 +80,8 @@
     std::set<ServerName> tried;
     std::uint32_t runs = 0;     ///< Calls that a server may have executed.
     std::uint32_t arrivals = 0; ///< Calls that count against the retry budget, including the first.
-    std::uint32_t crashesKnown =
-        0; ///< Consecutive crashes of the content when the call was started.
+    /** Consecutive crashes of the content when the call was started. */
+    std::uint32_t crashesKnown = 0;
     bool isForwarding = false;
     CallNumber streaming; ///< The call whose events are forwarded.
     TimePoint firstAnswer {};
@@ -96,8 +96,8 @@
     ServerName plannedPrefill;   ///< Assigned by the scheduler; empty if this node chooses.
     ServerName decodeServer;
     scheduling::MemoryNeed memory;
-    std::uint64_t tokens =
-        0; ///< Maximum tokens, added to the load of decodeServer while that is set.
+    /** Maximum tokens, added to the load of decodeServer while that is set. */
+    std::uint64_t tokens = 0;
     std::string reservation;
     TimePoint reservedUntil {};
     ServerName prefillServer;
--- a/src/dispatch/patienceseen.h
+++ b/src/dispatch/patienceseen.h
@@ -15,8 +15,9 @@
 public:
     bool isComingBack(const OpenRequest &request);
 
+    /** Longest remaining time by route. */
 private:
-    std::map<RouteName, Duration> m_most; ///< Longest remaining time by route.
+    std::map<RouteName, Duration> m_most;
 };
 
 } // namespace indigoway::dispatch
--- a/src/routing/routetable.h
+++ b/src/routing/routetable.h
@@ -45,8 +45,8 @@
 
     RoutingState m_state;
     std::unordered_map<std::string, HostRoutes> m_hosts;
-    std::unordered_map<KeyDigest, std::size_t, DigestHash>
-        m_keys; ///< Index into the organisations.
+    /** Index into the organisations. */
+    std::unordered_map<KeyDigest, std::size_t, DigestHash> m_keys;
     std::unordered_map<OrganisationName, std::size_t> m_organisations;
 };
 
