--- a/src/dispatch/crashwatch.h
+++ b/src/dispatch/crashdetector.h
@@ -11,10 +11,10 @@
  * connection alone may be a reset link or an aborted answer, so the server is probed with one
  * connection attempt; if it fails, the server has crashed.
  */
-class CrashWatch
+class CrashDetector
 {
 public:
-    explicit CrashWatch(DispatchState &state)
+    explicit CrashDetector(DispatchState &state)
         : m_state(state)
     { }
 
@@ -25,17 +25,17 @@
     /** Records a crash if the probe of @p call could not connect. */
     void probeEnded(Step &step, const OpenCall &call, const CallEnded &event);
     /** Records that a server completed an answer to @p content, with any status. */
-    void answered(Step &step, const ContentId &content);
+    void recordAnswer(Step &step, const ContentId &content);
 
 private:
-    void noteCrash(Step &step, const ContentId &content, std::uint32_t count);
+    void recordCrash(Step &step, const ContentId &content, std::uint32_t count);
 
     DispatchState &m_state;
     /**
      * Servers with a probe in progress: the contents lost there, with the number of crashes known
      * before.
      */
-    std::map<ServerName, std::map<ContentId, std::uint32_t>> m_probed;
+    std::map<ServerName, std::map<ContentId, std::uint32_t>> m_pendingProbes;
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/crashrecords.h
+++ b/src/dispatch/crashrecords.h
@@ -26,23 +26,23 @@
      * Consecutive crashes after which the content is refused. A lower limit refuses requests that
      * only shared a server with the cause; a higher one costs another server.
      */
-    static constexpr std::uint32_t MostCrashes = 3;
+    static constexpr std::uint32_t MaxCrashes = 3;
     /** Time until an entry expires. A wrong refusal ends with it. */
-    static constexpr Duration KeptFor = std::chrono::minutes(10);
+    static constexpr Duration RetentionTime = std::chrono::minutes(10);
     /** Upper bound of entries. A crash adds a few dozen contents. */
-    static constexpr std::size_t MostContents = 1024;
+    static constexpr std::size_t MaxContents = 1024;
     /** Revision of a local record that the store has not confirmed yet. */
-    static constexpr std::uint64_t NotStored = std::numeric_limits<std::uint64_t>::max();
+    static constexpr std::uint64_t UnconfirmedRevision = std::numeric_limits<std::uint64_t>::max();
 
     /**
      * Records a crash.
      * @param count The position in the series of consecutive crashes, from 1.
      * @param revision The store revision of the record.
      */
-    void crashed(const ContentId &content, std::uint32_t count, std::uint64_t revision,
-                 TimePoint now);
+    void recordCrash(const ContentId &content, std::uint32_t count, std::uint64_t revision,
+                     TimePoint now);
     /** Records a complete answer, which clears crashes up to @p revision. */
-    void answered(const ContentId &content, std::uint64_t revision, TimePoint now);
+    void recordAnswer(const ContentId &content, std::uint64_t revision, TimePoint now);
     /** Returns the number of consecutive crashes, at most MaxCrashes. */
     std::uint32_t crashes(const ContentId &content) const;
     /**
@@ -50,7 +50,7 @@
      */
     std::optional<TimePoint> refusedUntil(const ContentId &content) const;
     /** Removes entries that were not updated within RetentionTime. */
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
     std::size_t size() const { return m_entries.size(); }
     std::size_t refused() const;
 
@@ -58,13 +58,13 @@
     struct Entry
     {
         /** Store revisions, indexed by count - 1; 0 if there was no crash. */
-        std::array<std::uint64_t, MostCrashes> crashedAt {};
-        std::uint64_t answeredAt = 0;
-        TimePoint heard {};
+        std::array<std::uint64_t, MaxCrashes> crashRevisions {};
+        std::uint64_t answerRevision = 0;
+        TimePoint updatedAt {};
     };
 
-    static std::uint32_t crashesOf(const Entry &entry);
-    Entry &entryOf(const ContentId &content, TimePoint now);
+    static std::uint32_t crashCountOf(const Entry &entry);
+    Entry &updateEntry(const ContentId &content, TimePoint now);
 
     std::map<ContentId, Entry> m_entries;
 };
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -8,45 +8,45 @@
 namespace {
 
 /** Interval between evaluations of phase orders; each one scans all engines. */
-constexpr Duration LookAtOrdersEvery = std::chrono::milliseconds(250);
+constexpr Duration OrderEvaluationInterval = std::chrono::milliseconds(250);
 constexpr int Unauthorized = 401;
 constexpr int NotFound = 404;
 constexpr int TooManyRequests = 429;
 constexpr int ServiceUnavailable = 503;
 constexpr int GatewayTimeout = 504;
 /** Time limit of a request if neither the caller nor the route sets one. */
-constexpr Duration LongestRequest = std::chrono::minutes(10);
+constexpr Duration MaxRequestTime = std::chrono::minutes(10);
 /**
  * Extra time for the server's own timeout answer, which is preferred to one generated here. Covers
  * the return path and timer granularity.
  */
 constexpr Duration TimeoutGrace = std::chrono::milliseconds(120);
 /** Retry delay while no routing table is loaded. */
-constexpr Duration RoutingComesAfter = std::chrono::milliseconds(400);
+constexpr Duration RoutingRetryDelay = std::chrono::milliseconds(400);
 /**
  * Divisor of the caller's remaining time that gives the retry delay if the cause has no known
  * duration.
  */
-constexpr int ComeBackOfPatience = 4;
+constexpr int PatiencePerRetryDelay = 4;
 /** Retry delay for callers of a draining node, who retry at other nodes. */
-constexpr Duration ElsewhereAfter = std::chrono::milliseconds(20);
+constexpr Duration DrainRetryDelay = std::chrono::milliseconds(20);
 /** Longest expected stream; streams that could exceed the shutdown time are rejected. */
-constexpr Duration LongestStream = std::chrono::milliseconds(6000);
-constexpr Duration LongestPlain = std::chrono::milliseconds(1500);
+constexpr Duration MaxStreamTime = std::chrono::milliseconds(6000);
+constexpr Duration MaxPlainTime = std::chrono::milliseconds(1500);
 /** Lower bound of the retry delay after a quota rejection. */
-constexpr Duration LeastQuotaWait = std::chrono::milliseconds(100);
+constexpr Duration MinQuotaRetryDelay = std::chrono::milliseconds(100);
 
-double unitsOf(const Quota &quota, const ArrivedRequest &facts)
+double quotaUnitsOf(const Quota &quota, const ArrivedRequest &arrival)
 {
     if (quota.unit == QuotaUnit::Requests) {
         return 1;
     }
-    const bool namesTokens = facts.promptTokens > 0 || facts.mostOutputTokens > 0;
-    return namesTokens ? static_cast<double>(facts.promptTokens) + facts.mostOutputTokens
-                       : quota.plainCost;
+    const bool hasTokenCounts = arrival.promptTokens > 0 || arrival.mostOutputTokens > 0;
+    return hasTokenCounts ? static_cast<double>(arrival.promptTokens) + arrival.mostOutputTokens
+                          : quota.plainCost;
 }
 
-void tellKeeper(Step &step, quotas::QuotaGate::Messages messages)
+void sendToKeeper(Step &step, quotas::QuotaGate::Messages messages)
 {
     for (quotas::ToKeeper &message : messages) {
         step.add(TellQuotaKeeper {std::move(message)});
@@ -59,7 +59,7 @@
     : m_state(std::move(settings), startedAt)
     , m_plain(m_state)
     , m_generations(m_state)
-    , m_crashWatch(m_state)
+    , m_crashDetector(m_state)
     , m_quotas(m_state.settings.quotas)
 { }
 
@@ -83,9 +83,9 @@
 {
     m_state.nodes = nodes;
     m_quotas.setNodes(nodes);
-    m_state.nodesAt = now;
-    for (auto &[service, allowance] : m_state.allowances) {
-        allowance.setNodes(nodes, now);
+    m_state.nodesUpdatedAt = now;
+    for (auto &[service, retryBudget] : m_state.retryBudgets) {
+        retryBudget.setNodes(nodes, now);
     }
 }
 
@@ -110,26 +110,26 @@
 
 void Dispatcher::leave(TimePoint now, TimePoint endsAt)
 {
-    m_leavingSince = now;
+    m_drainingSince = now;
     m_endsAt = endsAt;
 }
 
 bool Dispatcher::crashRecorded(const CrashNote &note, std::uint64_t revision, TimePoint now)
 {
-    const bool wasRefused = m_state.refusedFor(note.content, now).has_value();
+    const bool wasRefused = m_state.remainingRefusal(note.content, now).has_value();
     if (note.count == 0) {
-        m_state.crashes.answered(note.content, revision, now);
+        m_state.crashes.recordAnswer(note.content, revision, now);
     } else {
-        m_state.crashes.crashed(note.content, note.count, revision, now);
+        m_state.crashes.recordCrash(note.content, note.count, revision, now);
     }
-    return m_state.refusedFor(note.content, now).has_value() != wasRefused;
+    return m_state.remainingRefusal(note.content, now).has_value() != wasRefused;
 }
 
 DispatchEffects Dispatcher::reduce(TimePoint now, std::uint64_t entropy, const DispatchEvent &event)
 {
     DispatchEffects effects;
     Step step(now, entropy, effects);
-    std::visit([&](const auto &one) { handle(step, one); }, event);
+    std::visit([&](const auto &alternative) { handle(step, alternative); }, event);
     tickQuotas(step);
     m_nextTick = earlier(m_generations.tick(step), m_quotas.nextTick());
     return effects;
@@ -143,59 +143,59 @@
 void Dispatcher::handle(Step &step, const ArrivedRequest &event)
 {
     OpenRequest request;
-    request.facts = event;
+    request.arrival = event;
     request.table = m_table;
     request.arrived = step.now;
     const bool isServed = findRoute(step, request) && admitCaller(step, request)
-        && chooseService(step, request) && mayBegin(step, request);
+        && chooseService(step, request) && isAcceptable(step, request);
     if (!isServed) {
         return; // The request has been answered.
     }
-    request.answerBy = step.now + LongestRequest;
+    request.deadline = step.now + MaxRequestTime;
     if (request.route->timeout.count() > 0) {
-        request.answerBy = std::min(request.answerBy, step.now + request.route->timeout);
+        request.deadline = std::min(request.deadline, step.now + request.route->timeout);
     }
     if (event.patience) {
-        request.answerBy = std::min(request.answerBy, step.now + *event.patience);
+        request.deadline = std::min(request.deadline, step.now + *event.patience);
     }
-    m_timeouts.set(event.request, request.answerBy + TimeoutGrace);
+    m_timeouts.set(event.request, request.deadline + TimeoutGrace);
     serveWithinQuota(step, m_state.requests.add(std::move(request)));
 }
 
 bool Dispatcher::findRoute(Step &step, OpenRequest &request)
 {
-    const ArrivedRequest &facts = request.facts;
+    const ArrivedRequest &arrival = request.arrival;
     if (!m_table) {
-        rejectUnserved(step, facts, ServiceUnavailable, step.spread(RoutingComesAfter),
-                       "no routing known yet");
+        rejectArrival(step, arrival, ServiceUnavailable, step.jitter(RoutingRetryDelay),
+                      "no routing known yet");
         return false;
     }
-    request.route = m_table->find(facts.host, facts.path.substr(0, facts.path.find('?')));
+    request.route = m_table->find(arrival.host, arrival.path.substr(0, arrival.path.find('?')));
     if (request.route) {
         return true;
     }
-    if (isNewEnough(facts.copyAge, m_state.settings.mostCopyAge)) {
-        rejectUnserved(step, facts, NotFound, std::nullopt,
-                       "no route version=" + std::to_string(m_table->version()));
+    if (isNewEnough(arrival.copyAge, m_state.settings.mostCopyAge)) {
+        rejectArrival(step, arrival, NotFound, std::nullopt,
+                      "no route version=" + std::to_string(m_table->version()));
     } else {
-        rejectByOldCopy(step, facts);
+        rejectStaleConfiguration(step, arrival);
     }
     return false;
 }
 
 bool Dispatcher::admitCaller(Step &step, OpenRequest &request)
 {
-    const ArrivedRequest &facts = request.facts;
-    const Admission admission = admit(*m_table, *request.route, facts.credentials, facts.copyAge,
-                                      m_state.settings.mostCopyAge);
+    const ArrivedRequest &arrival = request.arrival;
+    const Admission admission = admit(*m_table, *request.route, arrival.credentials,
+                                      arrival.copyAge, m_state.settings.mostCopyAge);
     if (const auto *admitted = std::get_if<Admitted>(&admission)) {
         request.organisation = admitted->organisation;
         return true;
     }
     if (std::holds_alternative<CopyTooOld>(admission)) {
-        rejectByOldCopy(step, facts);
+        rejectStaleConfiguration(step, arrival);
     } else {
-        rejectUnserved(step, facts, Unauthorized, std::nullopt, unknownKeyText(facts));
+        rejectArrival(step, arrival, Unauthorized, std::nullopt, unknownKeyText(arrival));
     }
     return false;
 }
@@ -205,22 +205,22 @@
     const ServiceName *name = pickService(*request.route, step.random());
     request.service = name ? m_table->service(*name) : nullptr;
     if (!request.service) {
-        rejectUnserved(step, request.facts, ServiceUnavailable, step.spread(RoutingComesAfter),
-                       "route without a service");
+        rejectArrival(step, request.arrival, ServiceUnavailable, step.jitter(RoutingRetryDelay),
+                      "route without a service");
     }
     return request.service != nullptr;
 }
 
-bool Dispatcher::mayBegin(Step &step, const OpenRequest &request)
+bool Dispatcher::isAcceptable(Step &step, const OpenRequest &request)
 {
-    const ContentId &content = request.facts.content;
-    if (const auto refused = m_state.refusedFor(content, step.now)) {
-        rejectUnserved(step, request.facts, ServiceUnavailable, refused,
-                       CrashesServers + (" content=" + content.text()));
+    const ContentId &content = request.arrival.content;
+    if (const auto refused = m_state.remainingRefusal(content, step.now)) {
+        rejectArrival(step, request.arrival, ServiceUnavailable, refused,
+                      CrashesServers + (" content=" + content.text()));
         return false;
     }
-    if (isTooLateForLeaving(step.now, request.route->isStream)) {
-        rejectUnserved(step, request.facts, ServiceUnavailable, ElsewhereAfter, "leaving");
+    if (exceedsShutdown(step.now, request.route->isStream)) {
+        rejectArrival(step, request.arrival, ServiceUnavailable, DrainRetryDelay, "leaving");
         return false;
     }
     return true;
@@ -233,12 +233,12 @@
         return;
     }
     const Quota &quota = *request.organisation->quota;
-    const double units = unitsOf(quota, request.facts);
+    const double units = quotaUnitsOf(quota, request.arrival);
     quotas::QuotaGate::Messages messages;
     const quotas::QuotaDecision decision =
-        m_quotas.decide(step.now, quotas::QuotaAskId(request.facts.request.value()),
+        m_quotas.decide(step.now, quotas::QuotaAskId(request.arrival.request.value()),
                         request.organisation->name, quota, units, messages);
-    tellKeeper(step, std::move(messages));
+    sendToKeeper(step, std::move(messages));
     switch (decision.kind) {
     case quotas::QuotaDecision::Kind::Passed:
         request.quotaUnits = decision.isCounted ? units : 0;
@@ -257,7 +257,7 @@
 {
     quotas::QuotaGate::Messages messages;
     const auto verdict = m_quotas.answered(step.now, event.message, event.life, messages);
-    tellKeeper(step, std::move(messages));
+    sendToKeeper(step, std::move(messages));
     if (verdict) {
         quotaDecided(step, *verdict);
     }
@@ -275,7 +275,7 @@
     }
     request->stage = Stage::Calling;
     if (verdict.isCounted) {
-        request->quotaUnits = unitsOf(*request->organisation->quota, request->facts);
+        request->quotaUnits = quotaUnitsOf(*request->organisation->quota, request->arrival);
     }
     flowOf(*request).begin(step, *request);
 }
@@ -283,14 +283,15 @@
 void Dispatcher::rejectOverQuota(Step &step, OpenRequest &request, Duration roomAfter)
 {
     const Quota &quota = *request.organisation->quota;
-    m_timeouts.clear(request.facts.request);
-    const std::string why = "over quota units=" + std::to_string(unitsOf(quota, request.facts))
+    m_timeouts.clear(request.arrival.request);
+    const std::string reason =
+        "over quota units=" + std::to_string(quotaUnitsOf(quota, request.arrival))
         + " per_s=" + std::to_string(quota.perSecond) + " burst=" + std::to_string(quota.burst)
         + " room_after_ms=" + millisecondsText(roomAfter)
         + " keeper=" + (m_quotas.hearsKeeper(step.now) ? "heard" : "silent");
     m_state.requests.refuse(step, request,
                             {TooManyRequests, RequestOutcome::OverQuota,
-                             step.spread(std::max(roomAfter, LeastQuotaWait)), why});
+                             step.jitter(std::max(roomAfter, MinQuotaRetryDelay)), reason});
 }
 
 void Dispatcher::tickQuotas(Step &step)
@@ -300,7 +301,7 @@
         m_quotas.giveBack(unused.organisation, unused.units, messages);
     }
     const auto verdicts = m_quotas.tick(step.now, messages);
-    tellKeeper(step, std::move(messages));
+    sendToKeeper(step, std::move(messages));
     for (const quotas::QuotaVerdict &verdict : verdicts) {
         quotaDecided(step, verdict);
     }
@@ -315,7 +316,7 @@
     m_timeouts.clear(event.request);
     m_quotas.dropQuestion(quotas::QuotaAskId(event.request.value()));
     flowOf(*request).release(step, *request);
-    m_state.requests.dropLeft(step, *request);
+    m_state.requests.closeDisconnected(step, *request);
 }
 
 void Dispatcher::handle(Step &step, const StreamBegan &event)
@@ -344,29 +345,29 @@
         return;
     }
     if (call->kind == CallKind::Probe) {
-        m_crashWatch.probeEnded(step, *call, event);
+        m_crashDetector.probeEnded(step, *call, event);
         return;
     }
     OpenRequest *request = m_state.requests.find(call->request);
     if (request && carriesRequest(call->kind)) {
-        noteCrashOrAnswer(step, *call, *request, event);
+        recordCallResult(step, *call, *request, event);
     }
     if (!request || request->call != event.call) {
         RequestFlow &flow =
             call->kind == CallKind::Plain ? static_cast<RequestFlow &>(m_plain) : m_generations;
-        flow.orphanEnded(step, *call, event);
+        flow.orphanedCallEnded(step, *call, event);
         return;
     }
     flowOf(*request).callEnded(step, *request, *call, event);
 }
 
-void Dispatcher::noteCrashOrAnswer(Step &step, const OpenCall &call, const OpenRequest &request,
-                                   const CallEnded &event)
+void Dispatcher::recordCallResult(Step &step, const OpenCall &call, const OpenRequest &request,
+                                  const CallEnded &event)
 {
     if (event.isConnectionLost) {
-        m_crashWatch.connectionLost(step, call, request);
+        m_crashDetector.connectionLost(step, call, request);
     } else if (event.end == CallEnd::Complete && call.kind != CallKind::Prefill) {
-        m_crashWatch.answered(step, request.facts.content);
+        m_crashDetector.recordAnswer(step, request.arrival.content);
     }
 }
 
@@ -378,7 +379,7 @@
 void Dispatcher::handle(Step &step, const TimePassed & /*event*/)
 {
     if (std::exchange(m_hasNewRoutes, false)) {
-        rejectWithoutKey(step);
+        rejectRevokedKeys(step);
     }
     for (const RequestNumber number : m_timeouts.takeDue(step.now)) {
         if (OpenRequest *request = m_state.requests.find(number)) {
@@ -388,47 +389,49 @@
     for (const ServerName &name : m_state.servers.forgetVanished(step.now)) {
         forget(name);
     }
-    m_state.crashes.forgetOld(step.now);
-    const bool isOrderLookDue = m_orderToken || step.now >= m_ordersLookedAt + LookAtOrdersEvery;
-    if (m_holdsOrderRight && m_table && !m_leavingSince && isOrderLookDue) {
-        m_ordersLookedAt = step.now;
-        m_generations.phases().askForWork(step, *m_table);
+    m_state.crashes.removeExpired(step.now);
+    const bool isEvaluationDue =
+        m_orderToken || step.now >= m_lastOrderEvaluation + OrderEvaluationInterval;
+    if (m_holdsOrderRight && m_table && !m_drainingSince && isEvaluationDue) {
+        m_lastOrderEvaluation = step.now;
+        m_generations.phases().requestWork(step, *m_table);
         m_generations.phases().orderPhases(step, *m_table, m_orderToken);
     }
     // A token is valid for one evaluation only, as the order right may end in between.
     m_orderToken.reset();
 }
 
-bool Dispatcher::isTooLateForLeaving(TimePoint now, bool isStream) const
+bool Dispatcher::exceedsShutdown(TimePoint now, bool isStream) const
 {
-    if (!m_leavingSince) {
+    if (!m_drainingSince) {
         return false;
     }
-    return now + (isStream ? LongestStream : LongestPlain) > m_endsAt;
+    return now + (isStream ? MaxStreamTime : MaxPlainTime) > m_endsAt;
 }
 
 void Dispatcher::timeOut(Step &step, OpenRequest &request)
 {
-    const bool mayHaveRun = request.mayHaveRun();
-    m_quotas.dropQuestion(quotas::QuotaAskId(request.facts.request.value()));
+    const bool mayHaveExecuted = request.mayHaveExecuted();
+    m_quotas.dropQuestion(quotas::QuotaAskId(request.arrival.request.value()));
     flowOf(request).release(step, request);
     if (request.isForwarding) {
-        m_state.requests.breakStream(step, request, "time is up");
-    } else if (mayHaveRun) {
+        m_state.requests.abortStream(step, request, "time is up");
+    } else if (mayHaveExecuted) {
         m_state.requests.failInDoubt(step, request, GatewayTimeout, "time is up");
     } else {
-        m_state.requests.reject(step, request, step.spread(RoutingComesAfter), "time is up");
+        m_state.requests.reject(step, request, step.jitter(RoutingRetryDelay), "time is up");
     }
 }
 
-void Dispatcher::rejectByOldCopy(Step &step, const ArrivedRequest &event)
+void Dispatcher::rejectStaleConfiguration(Step &step, const ArrivedRequest &event)
 {
     // Another node may have a newer configuration.
-    const Duration wait = event.patience ? *event.patience / ComeBackOfPatience : RoutingComesAfter;
-    rejectUnserved(step, event, ServiceUnavailable, step.spread(wait),
-                   "copy too old age_ms="
-                       + (event.copyAge ? millisecondsText(*event.copyAge) : std::string("-"))
-                       + " version=" + std::to_string(m_table->version()));
+    const Duration wait =
+        event.patience ? *event.patience / PatiencePerRetryDelay : RoutingRetryDelay;
+    rejectArrival(step, event, ServiceUnavailable, step.jitter(wait),
+                  "copy too old age_ms="
+                      + (event.copyAge ? millisecondsText(*event.copyAge) : std::string("-"))
+                      + " version=" + std::to_string(m_table->version()));
 }
 
 std::string Dispatcher::unknownKeyText(const ArrivedRequest &event) const
@@ -438,14 +441,14 @@
         + " age_ms=" + (event.copyAge ? millisecondsText(*event.copyAge) : std::string("-"));
 }
 
-void Dispatcher::rejectWithoutKey(Step &step)
+void Dispatcher::rejectRevokedKeys(Step &step)
 {
     std::vector<RequestNumber> numbers;
     for (const auto &[number, request] : m_state.requests.all()) {
         const bool hasLostKey = request.table->wantsKeys() && !request.route->isOpen
-            && request.organisation && request.facts.credentials.key
-            && !m_table->organisationWith(*request.facts.credentials.key);
-        if (hasLostKey && !request.mayHaveRun()) {
+            && request.organisation && request.arrival.credentials.key
+            && !m_table->organisationWith(*request.arrival.credentials.key);
+        if (hasLostKey && !request.mayHaveExecuted()) {
             numbers.push_back(number);
         }
     }
@@ -459,13 +462,13 @@
     }
 }
 
-void Dispatcher::rejectUnserved(Step &step, const ArrivedRequest &event, int status,
-                                std::optional<Duration> retryAfter, const std::string &why)
+void Dispatcher::rejectArrival(Step &step, const ArrivedRequest &event, int status,
+                               std::optional<Duration> retryAfter, const std::string &reason)
 {
-    step.add(RejectRequest {event.request, status, retryAfter, why});
+    step.add(RejectRequest {event.request, status, retryAfter, reason});
     step.add(RecordDecision {"request_unserved", event.callerId,
                              "status=" + std::to_string(status) + " host=" + event.host
-                                 + " path=" + event.path + " " + why});
+                                 + " path=" + event.path + " " + reason});
 }
 
 RequestFlow &Dispatcher::flowOf(const OpenRequest &request)
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "dispatch/crashwatch.h"
+#include "dispatch/crashdetector.h"
 #include "dispatch/dispatchstate.h"
 #include "dispatch/generationflow.h"
 #include "dispatch/plainflow.h"
@@ -43,7 +43,7 @@
     /** Returns whether phase orders are due but the order token is missing. */
     bool wantsOrderToken() const { return m_generations.phases().wantsToken(); }
     /** Returns the number of evaluations of phase orders so far. */
-    std::uint64_t orderLooks() const { return m_generations.phases().looks(); }
+    std::uint64_t orderLooks() const { return m_generations.phases().evaluations(); }
     /** Sets the fencing token that is required to order phase changes; nothing if there is none. */
     void setOrderToken(std::optional<std::uint64_t> token) { m_orderToken = token; }
     /**
@@ -77,9 +77,9 @@
     void handle(Step &step, const SchedulerAnswered &event);
     void handle(Step &step, const QuotaKeeperAnswered &event);
     void handle(Step &step, const TimePassed &event);
-    void noteCrashOrAnswer(Step &step, const OpenCall &call, const OpenRequest &request,
-                           const CallEnded &event);
-    bool isTooLateForLeaving(TimePoint now, bool isStream) const;
+    void recordCallResult(Step &step, const OpenCall &call, const OpenRequest &request,
+                          const CallEnded &event);
+    bool exceedsShutdown(TimePoint now, bool isStream) const;
     void timeOut(Step &step, OpenRequest &request);
     // Each of these steps returns false if it has answered the request.
     bool findRoute(Step &step, OpenRequest &request);
@@ -88,7 +88,7 @@
     /**
      * Checks that the content is not refused and that the request can complete before a shutdown.
      */
-    bool mayBegin(Step &step, const OpenRequest &request);
+    bool isAcceptable(Step &step, const OpenRequest &request);
     /** Starts @p request if the quota of its organisation allows it. */
     void serveWithinQuota(Step &step, OpenRequest &request);
     void quotaDecided(Step &step, const quotas::QuotaVerdict &verdict);
@@ -96,19 +96,19 @@
     /** Returns unused quota, sends due messages and applies due decisions. */
     void tickQuotas(Step &step);
     /** Rejects the request because the local configuration is too old to decide. */
-    void rejectByOldCopy(Step &step, const ArrivedRequest &event);
+    void rejectStaleConfiguration(Step &step, const ArrivedRequest &event);
     std::string unknownKeyText(const ArrivedRequest &event) const;
     /** Rejects open requests whose key is missing from the new routing table. */
-    void rejectWithoutKey(Step &step);
-    void rejectUnserved(Step &step, const ArrivedRequest &event, int status,
-                        std::optional<Duration> retryAfter, const std::string &why);
+    void rejectRevokedKeys(Step &step);
+    void rejectArrival(Step &step, const ArrivedRequest &event, int status,
+                       std::optional<Duration> retryAfter, const std::string &reason);
     void forget(const ServerName &name);
     RequestFlow &flowOf(const OpenRequest &request);
 
     DispatchState m_state;
     PlainFlow m_plain;
     GenerationFlow m_generations;
-    CrashWatch m_crashWatch;
+    CrashDetector m_crashDetector;
     std::shared_ptr<const RouteTable> m_table;
     quotas::QuotaGate m_quotas;
     bool m_hasNewRoutes = false; ///< Since the last TimePassed event.
@@ -116,8 +116,8 @@
     std::optional<TimePoint> m_nextTick;
     bool m_holdsOrderRight = false;
     std::optional<std::uint64_t> m_orderToken;
-    TimePoint m_ordersLookedAt {}; ///< Last evaluation of phase orders.
-    std::optional<TimePoint> m_leavingSince;
+    TimePoint m_lastOrderEvaluation {}; ///< Last evaluation of phase orders.
+    std::optional<TimePoint> m_drainingSince;
     TimePoint m_endsAt {};
 };
 
--- a/src/dispatch/dispatchstate.cpp
+++ b/src/dispatch/dispatchstate.cpp
@@ -6,42 +6,43 @@
 
 std::uint32_t DispatchState::connectionsKept(const Service &service) const
 {
-    constexpr std::uint32_t KeptAtMost = 8;
+    constexpr std::uint32_t MaxIdleConnections = 8;
     /** Leaves three quarters of the limit to active calls. */
-    constexpr std::uint32_t KeptPart = 4;
+    constexpr std::uint32_t IdleShareDivisor = 4;
     if (service.maxConnections == 0 || nodes == 0) {
         return 1;
     }
-    return std::clamp(service.maxConnections / (KeptPart * nodes), 1U, KeptAtMost);
+    return std::clamp(service.maxConnections / (IdleShareDivisor * nodes), 1U, MaxIdleConnections);
 }
 
-void DispatchState::startFor(Step &step, OpenRequest &request, const AnnouncedServer &server,
-                             StartCall call)
+void DispatchState::startCall(Step &step, OpenRequest &request, const AnnouncedServer &server,
+                              StartCall call)
 {
-    call.request = request.facts.request;
+    call.request = request.arrival.request;
     if (request.organisation) {
         call.organisation = request.organisation->name;
     }
-    call.patience = request.answerBy - step.now;
+    call.patience = request.deadline - step.now;
     call.connectionsKept = connectionsKept(*request.service);
     request.server = server.name;
     request.callKind = call.kind;
     request.callStarted = step.now;
-    request.crashesKnown = crashes.crashes(request.facts.content);
+    request.knownCrashes = crashes.crashes(request.arrival.content);
     request.call = calls.start(step, server, std::move(call));
 }
 
-std::optional<Duration> DispatchState::refusedFor(const ContentId &content, TimePoint now) const
+std::optional<Duration> DispatchState::remainingRefusal(const ContentId &content,
+                                                        TimePoint now) const
 {
     const auto until = crashes.refusedUntil(content);
     return until && now < *until ? std::optional(Duration(*until - now)) : std::nullopt;
 }
 
-RetryAllowance &DispatchState::allowance(const ServiceName &service)
+NodeRetryBudget &DispatchState::retryBudget(const ServiceName &service)
 {
-    auto [it, isNew] = allowances.try_emplace(service, settings.retries, startedAt);
+    auto [it, isNew] = retryBudgets.try_emplace(service, settings.retries, startedAt);
     if (isNew) {
-        it->second.setNodes(nodes, nodesAt);
+        it->second.setNodes(nodes, nodesUpdatedAt);
     }
     return it->second;
 }
--- a/src/dispatch/dispatchstate.h
+++ b/src/dispatch/dispatchstate.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "dispatch/crashrecords.h"
+#include "dispatch/noderetrybudget.h"
 #include "dispatch/openrequests.h"
-#include "dispatch/retryallowance.h"
 #include "dispatch/servercalls.h"
 #include "dispatch/servertracker.h"
 #include "fleet/serverdirectory.h"
@@ -16,13 +16,13 @@
 struct DispatchSettings
 {
     DomainName domain;
-    RetryBounds retries;
+    RetryBudgetSettings retries;
     /** Maximum age of the configuration that is used to check keys; nothing for no limit. */
     std::optional<Duration> mostCopyAge = {};
     quotas::QuotaBounds quotas = {};
 };
 
-/** State shared by the request handlers: the open requests, the servers and their statistics. */
+/** State shared by the request flows: the open requests, the servers and their statistics. */
 struct DispatchState
 {
     DispatchState(DispatchSettings initial, TimePoint now)
@@ -34,13 +34,13 @@
     DispatchSettings settings;
     TimePoint startedAt {};
     std::uint32_t nodes = 0; ///< Number of nodes that share the retry budget; 0 if unknown.
-    TimePoint nodesAt {};
+    TimePoint nodesUpdatedAt {};
     OpenRequests requests;
     ServerDirectory servers;
     ServerTracker tracker;
     ServerCalls calls;
     CrashRecords crashes;
-    std::map<ServiceName, RetryAllowance> allowances;
+    std::map<ServiceName, NodeRetryBudget> retryBudgets;
 
     /**
      * Returns the number of idle connections that this node may keep to each server of @p service.
@@ -50,17 +50,15 @@
     std::uint32_t connectionsKept(const Service &service) const;
 
     /** Starts @p call for @p request and makes it the call that the request waits for. */
-    void startFor(Step &step, OpenRequest &request, const AnnouncedServer &server, StartCall call);
+    void startCall(Step &step, OpenRequest &request, const AnnouncedServer &server, StartCall call);
     /**
      * Returns how long @p content remains refused because of crashes, or nothing if it may be sent.
      */
-    std::optional<Duration> refusedFor(const ContentId &content, TimePoint now) const;
-    RetryAllowance &allowance(const ServiceName &service);
+    std::optional<Duration> remainingRefusal(const ContentId &content, TimePoint now) const;
+    NodeRetryBudget &retryBudget(const ServiceName &service);
 };
 
-/**
- * Interface of the handlers of one kind of request. One object handles all requests of its kind.
- */
+/** Serves one kind of request; one object serves all requests of its kind. */
 class RequestFlow
 {
 public:
@@ -74,7 +72,7 @@
     virtual void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                            const CallEnded &event) = 0;
     /** Handles the end of a call whose request has already ended. */
-    virtual void orphanEnded(Step &step, const OpenCall &call, const CallEnded &event) = 0;
+    virtual void orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event) = 0;
     /** Releases all resources of the request; the caller of this function ends it. */
     virtual void release(Step &step, OpenRequest &request) = 0;
     /** Processes due work and returns the time of the next call. */
--- a/src/dispatch/engineplacement.cpp
+++ b/src/dispatch/engineplacement.cpp
@@ -5,27 +5,27 @@
 namespace {
 
 /** Time during which an engine that refused a reservation is not asked again. */
-constexpr Duration RefusalPause = std::chrono::milliseconds(60);
+constexpr Duration RefusalBackoff = std::chrono::milliseconds(60);
 /** After a refusal, only requests that are smaller by this divisor's part are tried. */
-constexpr std::uint64_t SmallerByParts = 4;
+constexpr std::uint64_t SmallerRequestDivisor = 4;
 /** Cost, in prompt tokens, of moving a KV cache to another failure domain. */
-constexpr double OtherDomainTokens = 3000;
-constexpr double TokensPerWaiting = 5000;
+constexpr double PrefillOtherDomainPenalty = 3000;
+constexpr double TokensPerRequest = 5000;
 /** Cost, in tokens, of a decode engine in another failure domain. */
-constexpr double OtherDomainDecodeTokens = 1000;
+constexpr double DecodeOtherDomainPenalty = 1000;
 /** Exceeds any engine's memory: engines that fail to take over KV caches are the last choice. */
-constexpr double BadTargetTokens = 1e9;
+constexpr double BadTargetPenalty = 1e9;
 /** A prefill engine suspected of losing KV caches is the last choice. */
-constexpr double InDoubtTokens = 1e9;
+constexpr double SuspectSourcePenalty = 1e9;
 
 } // namespace
 
-void EnginePlacement::charge(const ServerName &server, std::uint64_t tokens)
+void EnginePlacement::addLoad(const ServerName &server, std::uint64_t tokens)
 {
     m_engines[server].tokens += tokens;
 }
 
-void EnginePlacement::discharge(const ServerName &server, std::uint64_t tokens)
+void EnginePlacement::removeLoad(const ServerName &server, std::uint64_t tokens)
 {
     Engine &engine = m_engines[server];
     engine.tokens -= std::min(engine.tokens, tokens);
@@ -34,22 +34,23 @@
     engine.refusedTokens = 0;
 }
 
-void EnginePlacement::asking(const ServerName &server)
+void EnginePlacement::reservationStarted(const ServerName &server)
 {
-    ++m_engines[server].asked;
+    ++m_engines[server].pendingReservations;
 }
 
-void EnginePlacement::granted(const ServerName &server)
+void EnginePlacement::reservationGranted(const ServerName &server)
 {
     Engine &engine = m_engines[server];
-    engine.asked -= engine.asked > 0 ? 1 : 0;
+    engine.pendingReservations -= engine.pendingReservations > 0 ? 1 : 0;
     engine.refusedTokens = 0;
 }
 
-void EnginePlacement::refused(const ServerName &server, std::uint64_t tokens, TimePoint now)
+void EnginePlacement::reservationRefused(const ServerName &server, std::uint64_t tokens,
+                                         TimePoint now)
 {
     Engine &engine = m_engines[server];
-    engine.asked -= engine.asked > 0 ? 1 : 0;
+    engine.pendingReservations -= engine.pendingReservations > 0 ? 1 : 0;
     engine.refusedTokens = tokens;
     engine.refusedAt = now;
 }
@@ -69,66 +70,69 @@
 EnginePlacement::pickDecode(const std::vector<const AnnouncedServer *> &candidates,
                             const Need &need, TimePoint now) const
 {
-    return best(candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
-        double score = server.domain == need.domain ? 0 : OtherDomainDecodeTokens;
-        const auto it = m_engines.find(server.name);
-        if (it != m_engines.end()) {
-            if (!isWorthAsking(it->second, need.tokens, now)) {
-                return std::nullopt;
+    return lowestCostEngine(
+        candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
+            double cost = server.domain == need.domain ? 0 : DecodeOtherDomainPenalty;
+            const auto it = m_engines.find(server.name);
+            if (it != m_engines.end()) {
+                if (!mayGrant(it->second, need.tokens, now)) {
+                    return std::nullopt;
+                }
+                cost += static_cast<double>(it->second.tokens)
+                    + it->second.pendingReservations * static_cast<double>(need.tokens);
             }
-            score += static_cast<double>(it->second.tokens)
-                + it->second.asked * static_cast<double>(need.tokens);
-        }
-        if (const auto load = m_tracker.freshLoad(server.name, now)) {
-            score += (load->running + load->waiting) * TokensPerWaiting;
-        }
-        return score + (m_handovers.isBadTarget(server.name, now) ? BadTargetTokens : 0);
-    });
+            if (const auto load = m_serverTracker.recentLoad(server.name, now)) {
+                cost += (load->running + load->waiting) * TokensPerRequest;
+            }
+            return cost + (m_handovers.isBadTarget(server.name, now) ? BadTargetPenalty : 0);
+        });
 }
 
 const AnnouncedServer *
 EnginePlacement::pickPrefill(const std::vector<const AnnouncedServer *> &candidates,
                              const Need &need, TimePoint now) const
 {
-    return best(candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
-        const auto it = m_engines.find(server.name);
-        if (isBadSource(server.name, now)) {
-            return std::nullopt;
-        }
-        double waiting = it == m_engines.end() ? 0 : static_cast<double>(it->second.tokens);
-        if (const auto load = m_tracker.freshLoad(server.name, now)) {
-            waiting = std::max(waiting, (load->running + load->waiting) * TokensPerWaiting);
-        }
-        waiting += m_handovers.isInDoubt(server.name, now) ? InDoubtTokens : 0;
-        return waiting + (server.domain == need.domain ? 0 : OtherDomainTokens);
-    });
+    return lowestCostEngine(
+        candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
+            const auto it = m_engines.find(server.name);
+            if (isBadSource(server.name, now)) {
+                return std::nullopt;
+            }
+            double waiting = it == m_engines.end() ? 0 : static_cast<double>(it->second.tokens);
+            if (const auto load = m_serverTracker.recentLoad(server.name, now)) {
+                waiting = std::max(waiting, (load->running + load->waiting) * TokensPerRequest);
+            }
+            waiting += m_handovers.isInDoubt(server.name, now) ? SuspectSourcePenalty : 0;
+            return waiting + (server.domain == need.domain ? 0 : PrefillOtherDomainPenalty);
+        });
 }
 
-const AnnouncedServer *EnginePlacement::best(const std::vector<const AnnouncedServer *> &candidates,
-                                             const Need &need, const Score &scoreOf)
+const AnnouncedServer *
+EnginePlacement::lowestCostEngine(const std::vector<const AnnouncedServer *> &candidates,
+                                  const Need &need, const Cost &costOf)
 {
     const AnnouncedServer *chosen = nullptr;
-    double bestScore = 0;
+    double lowestCost = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const AnnouncedServer *server = candidates[(i + need.entropy) % candidates.size()];
-        if (need.without->contains(server->name)) {
+        if (need.excluded->contains(server->name)) {
             continue;
         }
-        const std::optional<double> score = scoreOf(*server);
-        if (score && (!chosen || *score < bestScore)) {
+        const std::optional<double> cost = costOf(*server);
+        if (cost && (!chosen || *cost < lowestCost)) {
             chosen = server;
-            bestScore = *score;
+            lowestCost = *cost;
         }
     }
     return chosen;
 }
 
-bool EnginePlacement::isWorthAsking(const Engine &engine, std::uint64_t tokens, TimePoint now) const
+bool EnginePlacement::mayGrant(const Engine &engine, std::uint64_t tokens, TimePoint now) const
 {
-    if (engine.refusedTokens == 0 || now >= engine.refusedAt + RefusalPause) {
+    if (engine.refusedTokens == 0 || now >= engine.refusedAt + RefusalBackoff) {
         return true;
     }
-    return tokens + tokens / SmallerByParts < engine.refusedTokens;
+    return tokens + tokens / SmallerRequestDivisor < engine.refusedTokens;
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/engineplacement.h
+++ b/src/dispatch/engineplacement.h
@@ -22,14 +22,14 @@
 {
 public:
     explicit EnginePlacement(const ServerTracker &tracker)
-        : m_tracker(tracker)
+        : m_serverTracker(tracker)
     { }
 
-    void charge(const ServerName &server, std::uint64_t tokens);
-    void discharge(const ServerName &server, std::uint64_t tokens);
-    void asking(const ServerName &server);
-    void granted(const ServerName &server);
-    void refused(const ServerName &server, std::uint64_t tokens, TimePoint now);
+    void addLoad(const ServerName &server, std::uint64_t tokens);
+    void removeLoad(const ServerName &server, std::uint64_t tokens);
+    void reservationStarted(const ServerName &server);
+    void reservationGranted(const ServerName &server);
+    void reservationRefused(const ServerName &server, std::uint64_t tokens, TimePoint now);
     /** Records that @p decode failed to take over the KV cache held by @p prefill. */
     void handoverLost(const ServerName &prefill, const ServerName &decode, TimePoint now);
     void forget(const ServerName &server) { m_engines.erase(server); }
@@ -43,7 +43,7 @@
     {
         std::uint64_t tokens = 0;
         DomainName domain; ///< Preferred failure domain.
-        const std::set<ServerName> *without = nullptr;
+        const std::set<ServerName> *excluded = nullptr;
         /** Breaks ties, so that nodes do not all choose the same engine. */
         std::uint64_t entropy = 0;
     };
@@ -60,20 +60,21 @@
 private:
     struct Engine
     {
-        std::uint64_t tokens = 0; ///< Tokens of this node's requests.
-        std::uint32_t asked = 0;  ///< Reservations in progress.
+        std::uint64_t tokens = 0;              ///< Tokens of this node's requests.
+        std::uint32_t pendingReservations = 0; ///< Reservations in progress.
         std::uint64_t refusedTokens = 0;
         TimePoint refusedAt {};
     };
 
     /** Returns the cost of a server, lower is better; nothing if it must not be used now. */
-    using Score = std::function<std::optional<double>(const AnnouncedServer &)>;
+    using Cost = std::function<std::optional<double>(const AnnouncedServer &)>;
 
-    static const AnnouncedServer *best(const std::vector<const AnnouncedServer *> &candidates,
-                                       const Need &need, const Score &scoreOf);
-    bool isWorthAsking(const Engine &engine, std::uint64_t tokens, TimePoint now) const;
+    static const AnnouncedServer *
+    lowestCostEngine(const std::vector<const AnnouncedServer *> &candidates, const Need &need,
+                     const Cost &costOf);
+    bool mayGrant(const Engine &engine, std::uint64_t tokens, TimePoint now) const;
 
-    const ServerTracker &m_tracker;
+    const ServerTracker &m_serverTracker;
     std::map<ServerName, Engine> m_engines;
     scheduling::HandoverLosses m_handovers;
 };
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -9,40 +9,40 @@
 
 using scheduling::ClaimEnd;
 
-constexpr int FirstServerFailure = 500;
+constexpr int FirstServerErrorStatus = 500;
 constexpr int BadGateway = 502;
 /** Interval between reservation attempts while requests wait. */
-constexpr Duration AskAgainAfter = std::chrono::milliseconds(30);
+constexpr Duration ReservationInterval = std::chrono::milliseconds(30);
 /** Interval between checks for overdue requests while the scheduler decides. */
-constexpr Duration LookAtClaimsAfter = std::chrono::milliseconds(100);
+constexpr Duration ClaimCheckInterval = std::chrono::milliseconds(100);
 /** Maximum of concurrent reservations; more would break the queue order. */
-constexpr std::uint32_t MostReserving = 4;
+constexpr std::uint32_t MaxConcurrentReservations = 4;
 /** Engines answer reservations immediately; a later answer means that the engine is down. */
-constexpr Duration ReserveSilence = std::chrono::milliseconds(300);
+constexpr Duration ReserveTimeout = std::chrono::milliseconds(300);
 /**
  * Covers the queueing of prompts at peak load. A shorter timeout would repeat prefills when engines
  * are busiest; an engine that is down is detected by its failed connection.
  */
-constexpr Duration PrefillSilence = std::chrono::milliseconds(2000);
+constexpr Duration PrefillTimeout = std::chrono::milliseconds(2000);
 /** Idle timeout of resumable streams, three times the longest pause of a healthy engine. */
-constexpr Duration StreamSilence = std::chrono::milliseconds(1500);
+constexpr Duration StreamIdleTimeout = std::chrono::milliseconds(1500);
 /** Extra time for the scheduler to reject a request before this node does. */
-constexpr Duration SchedulerSlack = std::chrono::milliseconds(250);
+constexpr Duration SchedulerGrace = std::chrono::milliseconds(250);
 /** Typical time from a reservation to the first event. */
-constexpr Duration FirstEventAfter = std::chrono::milliseconds(250);
+constexpr Duration TypicalFirstEventTime = std::chrono::milliseconds(250);
 /** Reservations that expire within this time are not used. */
 constexpr Duration ReservationMargin = std::chrono::milliseconds(100);
-constexpr std::uint32_t MostPrefills = 2;
+constexpr std::uint32_t MaxPrefillAttempts = 2;
 
-EnginePlacement::Need needOf(Step &step, const OpenRequest &request, const DomainName &domain)
+EnginePlacement::Need engineNeedOf(Step &step, const OpenRequest &request, const DomainName &domain)
 {
-    return {request.tokens, domain, &request.tried, step.random()};
+    return {request.tokenDemand, domain, &request.triedServers, step.random()};
 }
 
 /**
  * Maps the result of a failed reservation to the claim result that is reported to the scheduler.
  */
-ClaimEnd endOfReservation(CallEnd end)
+ClaimEnd claimEndOf(CallEnd end)
 {
     switch (end) {
     case CallEnd::NotExecuted:
@@ -62,27 +62,27 @@
 
 void GenerationFlow::begin(Step &step, OpenRequest &request)
 {
-    m_state.allowance(request.service->name).requestSent(step.now);
-    request.memory = memoryNeedOf(request.facts);
-    request.tokens = tokensUnplanned(request.facts, request.memory);
-    request.isComingBack = m_patience.isComingBack(request);
+    m_state.retryBudget(request.service->name).recordRequest(step.now);
+    request.memory = memoryNeedOf(request.arrival);
+    request.tokenDemand = unscheduledReservation(request.arrival, request.memory);
+    request.isRetry = m_retryDetector.isRetry(request);
     enqueue(step, request);
 }
 
 void GenerationFlow::streamBegan(Step &step, OpenRequest &request, const StreamBegan &event)
 {
-    request.streaming = event.call;
+    request.streamingCall = event.call;
     if (request.isForwarding) {
-        step.add(ForwardStream {request.facts.request, event.call});
+        step.add(ForwardStream {request.arrival.request, event.call});
         return;
     }
     request.isForwarding = true;
-    request.firstAnswer = step.now;
+    request.firstAnswerAt = step.now;
     request.handle.clear();
     if (event.load) {
-        m_state.tracker.loadTold(request.server, *event.load, step.now);
+        m_state.tracker.recordLoad(request.server, *event.load, step.now);
     }
-    step.add(ForwardStream {request.facts.request, event.call});
+    step.add(ForwardStream {request.arrival.request, event.call});
 }
 
 void GenerationFlow::callEnded(Step &step, OpenRequest &request, const OpenCall &call,
@@ -90,7 +90,7 @@
 {
     request.call = {};
     if (event.load) {
-        m_state.tracker.loadTold(call.server.name, *event.load, step.now);
+        m_state.tracker.recordLoad(call.server.name, *event.load, step.now);
     }
     switch (call.kind) {
     case CallKind::Reserve:
@@ -106,49 +106,50 @@
     default:
         break;
     }
-    pump(step);
+    processQueue(step);
 }
 
-void GenerationFlow::orphanEnded(Step &step, const OpenCall &call, const CallEnded &event)
+void GenerationFlow::orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event)
 {
-    m_state.tracker.callDropped(call.server.name);
+    m_state.tracker.callClosed(call.server.name);
     if (call.kind != CallKind::Reserve) {
         return;
     }
-    --m_reserving;
-    m_placement.granted(call.server.name);
+    --m_reservationsInProgress;
+    m_placement.reservationGranted(call.server.name);
     if (!event.reservation.empty()) {
         StartCall unreserve;
         unreserve.kind = CallKind::Unreserve;
         unreserve.reservation = event.reservation;
-        unreserve.silentFor = ReserveSilence;
+        unreserve.silentFor = ReserveTimeout;
         m_state.calls.start(step, call.server, std::move(unreserve));
     }
 }
 
 void GenerationFlow::release(Step &step, OpenRequest &request)
 {
-    m_waiting.erase(request.facts.request);
+    m_waiting.erase(request.arrival.request);
     if (!request.call.isNone()) {
         // The result of a reservation is needed to release it.
         if (request.callKind != CallKind::Reserve) {
             m_state.calls.abandon(step, request.call);
         }
         if (request.callKind == CallKind::Prefill) {
-            m_placement.discharge(request.prefillServer, request.facts.promptTokens);
+            m_placement.removeLoad(request.prefillServer, request.arrival.promptTokens);
         }
         request.call = {};
     }
-    giveBack(step, request, ClaimEnd::Dropped);
+    releaseResources(step, request, ClaimEnd::Dropped);
 }
 
 std::optional<TimePoint> GenerationFlow::tick(Step &step)
 {
-    pump(step);
+    processQueue(step);
     if (m_waiting.empty()) {
         return std::nullopt;
     }
-    const Duration after = m_claims.isUsable(step.now) ? LookAtClaimsAfter : AskAgainAfter;
+    const Duration after =
+        m_claims.isAvailable(step.now) ? ClaimCheckInterval : ReservationInterval;
     return earlier(step.now + after, m_claims.nextTick());
 }
 
@@ -156,21 +157,21 @@
 {
     request.stage = Stage::Waiting;
     request.waitingSince = step.now;
-    m_waiting.insert(request.facts.request);
-    pump(step);
+    m_waiting.insert(request.arrival.request);
+    processQueue(step);
 }
 
-void GenerationFlow::pump(Step &step)
+void GenerationFlow::processQueue(Step &step)
 {
-    rejectHopeless(step);
+    rejectOverdue(step);
     for (const RequestNumber number : m_claims.tick(step, m_state.requests)) {
         m_state.requests.find(number)->claim = {};
     }
-    if (m_claims.isUsable(step.now)) {
+    if (m_claims.isAvailable(step.now)) {
         claimForWaiting(step);
         return;
     }
-    while (m_reserving < MostReserving) {
+    while (m_reservationsInProgress < MaxConcurrentReservations) {
         OpenRequest *request = nextWaiting(step);
         if (!request || !reserve(step, *request)) {
             return;
@@ -185,7 +186,7 @@
     for (const RequestNumber number : m_waiting) {
         OpenRequest *request = m_state.requests.find(number);
         const bool isInTime =
-            step.now + FirstEventAfter <= request->arrived + request->route->target;
+            step.now + TypicalFirstEventTime <= request->arrived + request->route->target;
         if (!best || (isInTime && !bestIsInTime)
             || (isInTime == bestIsInTime && request->arrived < best->arrived)) {
             best = request;
@@ -195,19 +196,19 @@
     return best;
 }
 
-void GenerationFlow::rejectHopeless(Step &step)
+void GenerationFlow::rejectOverdue(Step &step)
 {
-    std::vector<RequestNumber> hopeless;
+    std::vector<RequestNumber> overdue;
     for (const RequestNumber number : m_waiting) {
         const OpenRequest *request = m_state.requests.find(number);
         // The scheduler normally rejects first.
-        const Duration slack = request->claim.isNone() ? Duration(0) : SchedulerSlack;
-        if (step.now > request->waitingSince + longestWait(*request) + slack) {
-            hopeless.push_back(number);
+        const Duration slack = request->claim.isNone() ? Duration(0) : SchedulerGrace;
+        if (step.now > request->waitingSince + maxQueueTime(*request) + slack) {
+            overdue.push_back(number);
         }
     }
-    for (const RequestNumber number : hopeless) {
-        giveUpNotRun(step, *m_state.requests.find(number), "no room at any decode engine");
+    for (const RequestNumber number : overdue) {
+        failUnsent(step, *m_state.requests.find(number), "no room at any decode engine");
     }
 }
 
@@ -216,7 +217,7 @@
     for (const RequestNumber number : m_waiting) {
         OpenRequest &request = *m_state.requests.find(number);
         if (request.claim.isNone()) {
-            m_claims.claim(step, request, m_state.settings.domain, longestWait(request));
+            m_claims.claim(step, request, m_state.settings.domain, maxQueueTime(request));
         }
     }
 }
@@ -225,7 +226,7 @@
 {
     const auto number = m_claims.answered(step, event.message, event.life, m_state.requests);
     if (const auto *told = std::get_if<scheduling::WorkTold>(&event.message)) {
-        m_phases.learn(told->service, told->work);
+        m_phases.updateWork(told->service, told->work);
         return;
     }
     OpenRequest *request = number ? m_state.requests.find(*number) : nullptr;
@@ -234,9 +235,9 @@
     }
     if (const auto *refused = std::get_if<scheduling::ClaimRefused>(&event.message)) {
         request->claim = {};
-        giveUpNotRun(step, *request,
-                     "no room, says the scheduler: claims_ahead=" + std::to_string(refused->ahead)
-                         + " wait_ms=" + millisecondsText(refused->expectedWait));
+        failUnsent(step, *request,
+                   "no room, says the scheduler: claims_ahead=" + std::to_string(refused->ahead)
+                       + " wait_ms=" + millisecondsText(refused->expectedWait));
         return;
     }
     const auto *granted = std::get_if<scheduling::ClaimGranted>(&event.message);
@@ -244,14 +245,14 @@
         return;
     }
     if (granted->work) {
-        m_phases.learn(request->service->name, *granted->work);
+        m_phases.updateWork(request->service->name, *granted->work);
     }
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
         // The local server list is newer than the grant.
         m_claims.end(step, *request, scheduling::ClaimEnd::Dropped);
-        request->tried.insert(granted->decodeServer);
-        pump(step);
+        request->triedServers.insert(granted->decodeServer);
+        processQueue(step);
         return;
     }
     request->plannedPrefill = granted->prefillServer;
@@ -261,9 +262,9 @@
 
 bool GenerationFlow::reserve(Step &step, OpenRequest &request)
 {
-    const auto candidates = engines(step, request, EnginePhase::Decode);
+    const auto candidates = candidateEngines(step, request, EnginePhase::Decode);
     const AnnouncedServer *server = m_placement.pickDecode(
-        candidates, needOf(step, request, m_state.settings.domain), step.now);
+        candidates, engineNeedOf(step, request, m_state.settings.domain), step.now);
     if (!server) {
         return false;
     }
@@ -273,36 +274,37 @@
 
 void GenerationFlow::reserveAt(Step &step, OpenRequest &request, const AnnouncedServer &server)
 {
-    m_waiting.erase(request.facts.request);
-    m_placement.asking(server.name);
-    ++m_reserving;
+    m_waiting.erase(request.arrival.request);
+    m_placement.reservationStarted(server.name);
+    ++m_reservationsInProgress;
     request.stage = Stage::Reserving;
     StartCall call;
     call.kind = CallKind::Reserve;
-    call.silentFor = ReserveSilence;
-    call.reserveTokens = request.claim.isNone() ? request.tokens : tokensToBegin(request.memory);
+    call.silentFor = ReserveTimeout;
+    call.reserveTokens =
+        request.claim.isNone() ? request.tokenDemand : initialReservation(request.memory);
     call.reserveFor = request.service->engine->longestReservation;
-    m_state.startFor(step, request, server, std::move(call));
+    m_state.startCall(step, request, server, std::move(call));
 }
 
 void GenerationFlow::reserveEnded(Step &step, OpenRequest &request, const OpenCall &call,
                                   const CallEnded &event)
 {
-    --m_reserving;
+    --m_reservationsInProgress;
     const ServerName &server = call.server.name;
     if (event.end == CallEnd::Complete && !event.reservation.empty()) {
-        m_state.tracker.answered(server, step.now - call.started, true, step.now);
-        m_placement.granted(server);
-        m_placement.charge(server, request.tokens);
+        m_state.tracker.recordAnswer(server, step.now - call.started, true, step.now);
+        m_placement.reservationGranted(server);
+        m_placement.addLoad(server, request.tokenDemand);
         request.decodeServer = server;
         request.reservation = event.reservation;
-        request.roomAt = step.now;
+        request.reservedAt = step.now;
         request.reservedUntil = step.now + request.service->engine->longestReservation;
         if (request.claim.isNone()) {
-            m_claims.tellHeld(step, request);
+            m_claims.reportReservation(step, request);
         }
         const bool isPlannedWhole = std::exchange(request.isPlannedWhole, false);
-        if (isPlannedWhole || request.facts.isContinuation || request.eventsPassed > 0
+        if (isPlannedWhole || request.arrival.isContinuation || request.forwardedEvents > 0
             || request.readsWhole) {
             decode(step, request, true);
         } else {
@@ -310,12 +312,12 @@
         }
         return;
     }
-    m_placement.refused(server, request.tokens, step.now);
-    noteFailure(step, server, event.end);
-    m_claims.end(step, request, endOfReservation(event.end));
+    m_placement.reservationRefused(server, request.tokenDemand, step.now);
+    recordFailure(step, server, event.end);
+    m_claims.end(step, request, claimEndOf(event.end));
     ++request.refusals;
     request.stage = Stage::Waiting;
-    m_waiting.insert(request.facts.request);
+    m_waiting.insert(request.arrival.request);
 }
 
 void GenerationFlow::prefill(Step &step, OpenRequest &request)
@@ -324,63 +326,63 @@
     const DomainName domain = decodeServer ? decodeServer->domain : m_state.settings.domain;
     const AnnouncedServer *server = plannedPrefill(step, request);
     if (!server) {
-        server = m_placement.pickPrefill(engines(step, request, EnginePhase::Prefill),
-                                         needOf(step, request, domain), step.now);
+        server = m_placement.pickPrefill(candidateEngines(step, request, EnginePhase::Prefill),
+                                         engineNeedOf(step, request, domain), step.now);
     }
-    if (!server || request.prefillTries >= MostPrefills) {
+    if (!server || request.prefillAttempts >= MaxPrefillAttempts) {
         decode(step, request, true);
         return;
     }
     if (!maySend(step, request)) {
         return;
     }
-    request.arrivals += request.arrivals > 0 ? 1 : 0;
-    ++request.prefillTries;
+    request.countedCalls += request.countedCalls > 0 ? 1 : 0;
+    ++request.prefillAttempts;
     request.stage = Stage::Prefilling;
     request.prefillServer = server->name;
-    m_placement.charge(server->name, request.facts.promptTokens);
+    m_placement.addLoad(server->name, request.arrival.promptTokens);
     StartCall call;
     call.kind = CallKind::Prefill;
-    call.silentFor = PrefillSilence;
+    call.silentFor = PrefillTimeout;
     // A new connection detects a hanging engine earlier than the idle timeout, and before the
     // request is sent.
     call.needsNewConnection = true;
-    m_state.startFor(step, request, *server, std::move(call));
+    m_state.startCall(step, request, *server, std::move(call));
 }
 
 const AnnouncedServer *GenerationFlow::plannedPrefill(Step &step, OpenRequest &request)
 {
     const ServerName planned = std::exchange(request.plannedPrefill, {});
     const AnnouncedServer *server = m_state.servers.find(planned);
-    const bool isUsable = server && !request.tried.contains(planned)
+    const bool isAvailable = server && !request.triedServers.contains(planned)
         && m_state.servers.standing(planned, step.now) != Standing::Leaving
         && !m_placement.isBadSource(planned, step.now);
-    return isUsable ? server : nullptr;
+    return isAvailable ? server : nullptr;
 }
 
 void GenerationFlow::prefillEnded(Step &step, OpenRequest &request, const OpenCall &call,
                                   const CallEnded &event)
 {
     const ServerName &server = call.server.name;
-    m_placement.discharge(server, request.facts.promptTokens);
+    m_placement.removeLoad(server, request.arrival.promptTokens);
     const bool isDone = event.end == CallEnd::Complete && !event.handle.empty();
     m_claims.prefillEnded(step, request, isDone, event.end != CallEnd::NotConnected);
     if (isDone) {
-        m_state.tracker.answered(server, step.now - call.started, true, step.now);
+        m_state.tracker.recordAnswer(server, step.now - call.started, true, step.now);
         request.handle = event.handle;
         request.prefilledAt = step.now;
         decode(step, request, false);
         return;
     }
-    noteFailure(step, server, event.end);
+    recordFailure(step, server, event.end);
     if (event.end == CallEnd::NotConnected) {
-        --request.prefillTries;
-    } else if (request.arrivals == 0) {
-        request.arrivals = 1; // Only successful prefills are exempt from the retry budget.
+        --request.prefillAttempts;
+    } else if (request.countedCalls == 0) {
+        request.countedCalls = 1; // Only successful prefills are exempt from the retry budget.
     }
-    step.add(RecordDecision {"prefill_failed", request.facts.callerId,
+    step.add(RecordDecision {"prefill_failed", request.arrival.callerId,
                              "server=" + server.text() + " " + event.why});
-    request.tried.insert(server);
+    request.triedServers.insert(server);
     prefill(step, request);
 }
 
@@ -388,8 +390,8 @@
 {
     const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
-        request.tried.insert(request.decodeServer);
-        giveBack(step, request, ClaimEnd::Dropped);
+        request.triedServers.insert(request.decodeServer);
+        releaseResources(step, request, ClaimEnd::Dropped);
         enqueue(step, request);
         return;
     }
@@ -408,38 +410,39 @@
         call.handle = request.handle;
         call.handleAddress = source ? source->address : std::string();
     }
-    call.goesOn = request.eventsPassed > 0;
+    call.goesOn = request.forwardedEvents > 0;
     if (request.route->isResumable) {
-        call.silentFor = StreamSilence;
+        call.silentFor = StreamIdleTimeout;
     }
     call.needsNewConnection = true;
-    ++request.runs;
-    ++request.arrivals;
-    m_state.startFor(step, request, *server, std::move(call));
+    ++request.executions;
+    ++request.countedCalls;
+    m_state.startCall(step, request, *server, std::move(call));
 }
 
 void GenerationFlow::decodeEnded(Step &step, OpenRequest &request, const OpenCall &call,
                                  const CallEnded &event)
 {
     const ServerName &server = call.server.name;
-    request.eventsPassed = std::max(request.eventsPassed, event.events);
+    request.forwardedEvents = std::max(request.forwardedEvents, event.events);
     switch (event.end) {
     case CallEnd::Complete: {
-        if (request.isForwarding && request.streaming != event.call) {
+        if (request.isForwarding && request.streamingCall != event.call) {
             // An error response in place of the remaining events must not end the stream as
             // complete.
-            m_state.tracker.answered(server, step.now - call.started, false, step.now);
+            m_state.tracker.recordAnswer(server, step.now - call.started, false, step.now);
             CallEnded failure = event;
-            failure.why = "answered " + std::to_string(event.status) + " in place of going on";
-            decodeBroken(step, request, failure);
+            failure.why =
+                "answered " + std::to_string(event.status) + " instead of resuming the stream";
+            decodeFailed(step, request, failure);
             return;
         }
-        const bool isWell = event.status < FirstServerFailure;
-        m_state.tracker.answered(server, step.now - call.started, isWell, step.now);
-        if (isWell && !request.isForwarding) {
+        const bool isSuccess = event.status < FirstServerErrorStatus;
+        m_state.tracker.recordAnswer(server, step.now - call.started, isSuccess, step.now);
+        if (isSuccess && !request.isForwarding) {
             request.handle.clear();
         }
-        giveBack(step, request, ClaimEnd::Served);
+        releaseResources(step, request, ClaimEnd::Served);
         if (request.isForwarding) {
             m_state.requests.endStream(step, request);
         } else {
@@ -449,72 +452,73 @@
     }
     case CallEnd::NotExecuted:
     case CallEnd::NotConnected:
-        decodeNotRun(step, request, call, event);
+        decodeNotExecuted(step, request, call, event);
         return;
     case CallEnd::Broken:
-        m_state.tracker.failed(server, step.now);
-        decodeBroken(step, request, event);
+        m_state.tracker.recordFailure(server, step.now);
+        decodeFailed(step, request, event);
         return;
     }
 }
 
-void GenerationFlow::decodeNotRun(Step &step, OpenRequest &request, const OpenCall &call,
-                                  const CallEnded &event)
+void GenerationFlow::decodeNotExecuted(Step &step, OpenRequest &request, const OpenCall &call,
+                                       const CallEnded &event)
 {
-    --request.runs;
-    ClaimEnd how = ClaimEnd::Dropped;
-    step.add(RecordDecision {"decode_not_run", request.facts.callerId,
+    --request.executions;
+    ClaimEnd result = ClaimEnd::Dropped;
+    step.add(RecordDecision {"decode_not_run", request.arrival.callerId,
                              "kind=" + std::string(nameOf(call.kind))
                                  + " server=" + call.server.name.text() + " " + event.why});
-    noteFailure(step, call.server.name, event.end);
+    recordFailure(step, call.server.name, event.end);
     if (event.end == CallEnd::NotConnected) {
-        --request.arrivals;
-        request.tried.insert(call.server.name);
-        how = ClaimEnd::Unreachable;
+        --request.countedCalls;
+        request.triedServers.insert(call.server.name);
+        result = ClaimEnd::Unreachable;
     } else if (call.kind == CallKind::Decode) {
         // Memory was reserved, so the KV cache was not available.
         m_placement.handoverLost(request.prefillServer, call.server.name, step.now);
         request.handle.clear();
         request.readsWhole = true;
-        how = ClaimEnd::HandleLost;
+        result = ClaimEnd::HandleLost;
     }
-    giveBack(step, request, how);
+    releaseResources(step, request, result);
     enqueue(step, request);
 }
 
-void GenerationFlow::noteFailure(Step &step, const ServerName &server, CallEnd end)
+void GenerationFlow::recordFailure(Step &step, const ServerName &server, CallEnd end)
 {
     switch (end) {
     case CallEnd::NotExecuted:
     case CallEnd::Complete:
-        m_state.tracker.turnedAway(server);
+        m_state.tracker.recordRejection(server);
         return;
     case CallEnd::NotConnected:
-        m_state.tracker.unreachable(server, step.now);
+        m_state.tracker.recordUnreachable(server, step.now);
         return;
     case CallEnd::Broken:
-        m_state.tracker.failed(server, step.now);
+        m_state.tracker.recordFailure(server, step.now);
         return;
     }
 }
 
-void GenerationFlow::decodeBroken(Step &step, OpenRequest &request, const CallEnded &event)
+void GenerationFlow::decodeFailed(Step &step, OpenRequest &request, const CallEnded &event)
 {
     request.handle.clear();
-    request.tried.insert(request.decodeServer);
-    giveBack(step, request, ClaimEnd::EngineFailed);
-    const bool mayGoOn = request.route->isResumable && request.runs < request.route->maxAttempts
-        && m_state.allowance(request.service->name).take(step.now);
-    if (mayGoOn) {
-        step.add(RecordDecision {"resume", request.facts.callerId,
-                                 "after_events=" + std::to_string(request.eventsPassed) + " "
+    request.triedServers.insert(request.decodeServer);
+    releaseResources(step, request, ClaimEnd::EngineFailed);
+    const bool mayResume = request.route->isResumable
+        && request.executions < request.route->maxAttempts
+        && m_state.retryBudget(request.service->name).tryTake(step.now);
+    if (mayResume) {
+        step.add(RecordDecision {"resume", request.arrival.callerId,
+                                 "after_events=" + std::to_string(request.forwardedEvents) + " "
                                      + event.why});
-        request.arrivals = 0; // The retry has already been charged to the budget.
+        request.countedCalls = 0; // The retry has already been charged to the budget.
         enqueue(step, request);
         return;
     }
     if (request.isForwarding) {
-        m_state.requests.breakStream(step, request, event.why);
+        m_state.requests.abortStream(step, request, event.why);
     } else {
         m_state.requests.failInDoubt(step, request, BadGateway, event.why);
     }
@@ -522,42 +526,42 @@
 
 bool GenerationFlow::maySend(Step &step, OpenRequest &request)
 {
-    if (m_state.refusedFor(request.facts.content, step.now)) {
-        giveUpNotRun(step, request, CrashesServers);
+    if (m_state.remainingRefusal(request.arrival.content, step.now)) {
+        failUnsent(step, request, CrashesServers);
         return false;
     }
-    if (request.arrivals == 0 || m_state.allowance(request.service->name).take(step.now)) {
+    if (request.countedCalls == 0 || m_state.retryBudget(request.service->name).tryTake(step.now)) {
         return true;
     }
-    giveUpNotRun(step, request, "no retries left");
+    failUnsent(step, request, "no retries left");
     return false;
 }
 
-void GenerationFlow::giveUpNotRun(Step &step, OpenRequest &request, const std::string &why)
+void GenerationFlow::failUnsent(Step &step, OpenRequest &request, const std::string &reason)
 {
     release(step, request);
     if (request.isForwarding) {
-        m_state.requests.breakStream(step, request, why);
-    } else if (request.mayHaveRun()) {
-        m_state.requests.failInDoubt(step, request, BadGateway, why);
+        m_state.requests.abortStream(step, request, reason);
+    } else if (request.mayHaveExecuted()) {
+        m_state.requests.failInDoubt(step, request, BadGateway, reason);
     } else {
-        const auto refused = m_state.refusedFor(request.facts.content, step.now);
-        m_state.requests.reject(step, request,
-                                refused.value_or(step.spread(comeBackAfter(request))), why);
+        const auto refused = m_state.remainingRefusal(request.arrival.content, step.now);
+        m_state.requests.reject(step, request, refused.value_or(step.jitter(retryDelay(request))),
+                                reason);
     }
 }
 
-void GenerationFlow::giveBack(Step &step, OpenRequest &request, ClaimEnd how)
+void GenerationFlow::releaseResources(Step &step, OpenRequest &request, ClaimEnd result)
 {
-    m_claims.end(step, request, how);
+    m_claims.end(step, request, result);
     if (!request.decodeServer.isEmpty()) {
-        m_placement.discharge(request.decodeServer, request.tokens);
+        m_placement.removeLoad(request.decodeServer, request.tokenDemand);
         const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
         if (server && !request.reservation.empty()) {
             StartCall call;
             call.kind = CallKind::Unreserve;
             call.reservation = request.reservation;
-            call.silentFor = ReserveSilence;
+            call.silentFor = ReserveTimeout;
             m_state.calls.start(step, *server, std::move(call));
         }
         request.decodeServer = {};
@@ -569,20 +573,20 @@
         call.kind = CallKind::FreeHandle;
         call.handle = request.handle;
         call.handleAddress = source->address;
-        call.silentFor = ReserveSilence;
+        call.silentFor = ReserveTimeout;
         m_state.calls.start(step, *source, std::move(call));
     }
     request.handle.clear();
 }
 
-std::vector<const AnnouncedServer *> GenerationFlow::engines(Step &step, const OpenRequest &request,
-                                                             EnginePhase phase) const
+std::vector<const AnnouncedServer *>
+GenerationFlow::candidateEngines(Step &step, const OpenRequest &request, EnginePhase phase) const
 {
     auto servers = m_state.servers.candidates(request.service->name, phase, step.now);
     std::erase_if(servers, [&](const AnnouncedServer *server) {
         return m_phases.isChanging(server->name, step.now);
     });
-    return m_state.tracker.preferred(servers, step.now);
+    return m_state.tracker.preferredServers(servers, step.now);
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/generationflow.h
+++ b/src/dispatch/generationflow.h
@@ -2,8 +2,8 @@
 
 #include "dispatch/dispatchstate.h"
 #include "dispatch/engineplacement.h"
-#include "dispatch/patienceseen.h"
-#include "dispatch/phasechanges.h"
+#include "dispatch/phasecontroller.h"
+#include "dispatch/retrydetector.h"
 #include "dispatch/schedulerclaims.h"
 
 #include <set>
@@ -27,8 +27,8 @@
 
     /** Removes the statistics of an engine that has been removed. */
     void forget(const ServerName &server) { m_placement.forget(server); }
-    PhaseChanges &phases() { return m_phases; }
-    const PhaseChanges &phases() const { return m_phases; }
+    PhaseController &phases() { return m_phases; }
+    const PhaseController &phases() const { return m_phases; }
     /** Sets the node that schedules the engines; nothing if this node chooses them. */
     void setScheduler(std::optional<NodeName> name) { m_claims.setScheduler(std::move(name)); }
     void schedulerAnswered(Step &step, const SchedulerAnswered &event);
@@ -37,16 +37,16 @@
     void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) override;
     void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                    const CallEnded &event) override;
-    void orphanEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
+    void orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
     void release(Step &step, OpenRequest &request) override;
     std::optional<TimePoint> tick(Step &step) override;
     std::size_t waiting() const { return m_waiting.size(); }
 
 private:
     void enqueue(Step &step, OpenRequest &request);
-    void pump(Step &step);
+    void processQueue(Step &step);
     OpenRequest *nextWaiting(Step &step);
-    void rejectHopeless(Step &step);
+    void rejectOverdue(Step &step);
     void claimForWaiting(Step &step);
     bool reserve(Step &step, OpenRequest &request);
     void reserveAt(Step &step, OpenRequest &request, const AnnouncedServer &server);
@@ -60,28 +60,28 @@
     void decode(Step &step, OpenRequest &request, bool isWhole);
     void decodeEnded(Step &step, OpenRequest &request, const OpenCall &call,
                      const CallEnded &event);
-    void decodeNotRun(Step &step, OpenRequest &request, const OpenCall &call,
-                      const CallEnded &event);
-    void decodeBroken(Step &step, OpenRequest &request, const CallEnded &event);
+    void decodeNotExecuted(Step &step, OpenRequest &request, const OpenCall &call,
+                           const CallEnded &event);
+    void decodeFailed(Step &step, OpenRequest &request, const CallEnded &event);
     /**
      * Checks the crash records and the retry budget before a call; the first call is not a retry.
      * @return False if the request has been ended.
      */
     bool maySend(Step &step, OpenRequest &request);
-    void noteFailure(Step &step, const ServerName &server, CallEnd end);
-    void giveUpNotRun(Step &step, OpenRequest &request, const std::string &why);
+    void recordFailure(Step &step, const ServerName &server, CallEnd end);
+    void failUnsent(Step &step, OpenRequest &request, const std::string &reason);
     /** Releases the engine load, reservation, handle and claim of @p request. */
-    void giveBack(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
-    std::vector<const AnnouncedServer *> engines(Step &step, const OpenRequest &request,
-                                                 EnginePhase phase) const;
+    void releaseResources(Step &step, OpenRequest &request, scheduling::ClaimEnd result);
+    std::vector<const AnnouncedServer *> candidateEngines(Step &step, const OpenRequest &request,
+                                                          EnginePhase phase) const;
 
     DispatchState &m_state;
     EnginePlacement m_placement;
-    PhaseChanges m_phases;
+    PhaseController m_phases;
     SchedulerClaims m_claims;
-    PatienceSeen m_patience;
+    RetryDetector m_retryDetector;
     std::set<RequestNumber> m_waiting;
-    std::uint32_t m_reserving = 0;
+    std::uint32_t m_reservationsInProgress = 0;
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/generationlimits.cpp
+++ b/src/dispatch/generationlimits.cpp
@@ -10,57 +10,59 @@
  * Share of the route's target after which a queued request is rejected, as it can no longer meet
  * the target.
  */
-constexpr double WaitOfTarget = 0.9;
+constexpr double MaxQueueTimeOfTarget = 0.9;
 /** Maximum queue time of a resumed stream, during which its caller receives nothing. */
-constexpr Duration LongestPause = std::chrono::milliseconds(2000);
+constexpr Duration MaxResumeQueueTime = std::chrono::milliseconds(2000);
 /** Divisor of the caller's remaining time; retries within a third of it are accepted by callers. */
-constexpr int ComeBackOfPatience = 4;
+constexpr int PatiencePerRetryDelay = 4;
 /** Retry delay if the caller's remaining time is unknown. */
-constexpr Duration ComeBackUntold = std::chrono::milliseconds(3500);
+constexpr Duration DefaultRetryDelay = std::chrono::milliseconds(3500);
 /** Factor on the caller's output estimate, which is only accurate at the median. */
-constexpr double ReservedOfLikely = 1.5;
+constexpr double UnscheduledOutputFactor = 1.5;
 /** Share of the estimated output that is reserved first; the scheduler has planned for the rest. */
-constexpr double ReservedOfPlanned = 0.25;
+constexpr double ScheduledOutputFactor = 0.25;
 /** Block size of engine memory, in tokens. */
 constexpr std::uint64_t BlockTokens = 16;
 
-std::uint64_t partOf(std::uint64_t tokens, double part)
+std::uint64_t scaled(std::uint64_t tokens, double factor)
 {
-    return static_cast<std::uint64_t>(static_cast<double>(tokens) * part);
+    return static_cast<std::uint64_t>(static_cast<double>(tokens) * factor);
 }
 
 } // namespace
 
-scheduling::MemoryNeed memoryNeedOf(const ArrivedRequest &facts)
+scheduling::MemoryNeed memoryNeedOf(const ArrivedRequest &arrival)
 {
-    const std::uint64_t most = facts.mostOutputTokens;
-    const std::uint64_t likely = facts.likelyOutputTokens.value_or(facts.mostOutputTokens);
-    return {facts.promptTokens + BlockTokens, std::min(likely, most), most};
+    const std::uint64_t most = arrival.mostOutputTokens;
+    const std::uint64_t likely = arrival.likelyOutputTokens.value_or(arrival.mostOutputTokens);
+    return {arrival.promptTokens + BlockTokens, std::min(likely, most), most};
 }
 
-std::uint64_t tokensUnplanned(const ArrivedRequest &facts, const scheduling::MemoryNeed &need)
+std::uint64_t unscheduledReservation(const ArrivedRequest &arrival,
+                                     const scheduling::MemoryNeed &need)
 {
-    const std::uint64_t most = facts.mostOutputTokens;
-    return need.contextTokens + std::min(most, partOf(need.outputTokens, ReservedOfLikely));
+    const std::uint64_t most = arrival.mostOutputTokens;
+    return need.contextTokens + std::min(most, scaled(need.outputTokens, UnscheduledOutputFactor));
 }
 
-std::uint64_t tokensToBegin(const scheduling::MemoryNeed &need)
+std::uint64_t initialReservation(const scheduling::MemoryNeed &need)
 {
-    return need.contextTokens + partOf(need.outputTokens, ReservedOfPlanned);
+    return need.contextTokens + scaled(need.outputTokens, ScheduledOutputFactor);
 }
 
-Duration longestWait(const OpenRequest &request)
+Duration maxQueueTime(const OpenRequest &request)
 {
     if (request.urgency() == scheduling::Urgency::GoesOn) {
-        return LongestPause;
+        return MaxResumeQueueTime;
     }
     const auto target = static_cast<double>(request.route->target.count());
-    return Duration(static_cast<Duration::rep>(target * WaitOfTarget));
+    return Duration(static_cast<Duration::rep>(target * MaxQueueTimeOfTarget));
 }
 
-Duration comeBackAfter(const OpenRequest &request)
+Duration retryDelay(const OpenRequest &request)
 {
-    return request.facts.patience ? *request.facts.patience / ComeBackOfPatience : ComeBackUntold;
+    return request.arrival.patience ? *request.arrival.patience / PatiencePerRetryDelay
+                                    : DefaultRetryDelay;
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/retryallowance.h
+++ b/src/dispatch/noderetrybudget.h
@@ -8,7 +8,7 @@
 namespace indigoway::dispatch {
 
 /** Limits of the retries to a service, for all nodes together. */
-struct RetryBounds
+struct RetryBudgetSettings
 {
     double ratio = 0.2; ///< Retries per request in a window.
     Duration window = std::chrono::seconds(10);
@@ -23,31 +23,31 @@
  * number of nodes takes effect after a whole window, and a restarted node gains its slack over
  * time.
  */
-class RetryAllowance
+class NodeRetryBudget
 {
 public:
     /** @param startedAt The start time of this process. */
-    RetryAllowance(RetryBounds bounds, TimePoint startedAt);
+    NodeRetryBudget(RetryBudgetSettings settings, TimePoint startedAt);
 
     void setNodes(std::uint32_t nodes, TimePoint now);
-    void requestSent(TimePoint now);
+    void recordRequest(TimePoint now);
     /**
      * Takes one retry.
      * @return False if none is left in the window that ends at @p now.
      */
-    bool take(TimePoint now);
+    bool tryTake(TimePoint now);
 
 private:
     /** Safety factor on the budget, as the windows of the nodes are not synchronised. */
-    static constexpr double UsedPart = 0.8;
+    static constexpr double SafetyFactor = 0.8;
 
-    void forget(TimePoint now);
-    double slackShare(TimePoint now) const;
+    void removeExpired(TimePoint now);
+    double availableSlack(TimePoint now) const;
 
-    RetryBounds m_bounds;
+    RetryBudgetSettings m_settings;
     TimePoint m_startedAt;
     std::uint32_t m_nodes = 0; ///< Highest number within the window; 0 if unknown.
-    TimePoint m_mostNodesAt {};
+    TimePoint m_maxNodesAt {};
     std::deque<TimePoint> m_requests;
     std::deque<TimePoint> m_retries;
 };
--- a/src/dispatch/openrequests.cpp
+++ b/src/dispatch/openrequests.cpp
@@ -14,10 +14,10 @@
 
 scheduling::Urgency OpenRequest::urgency() const
 {
-    if (isForwarding || facts.isContinuation) {
+    if (isForwarding || arrival.isContinuation) {
         return scheduling::Urgency::GoesOn;
     }
-    return isComingBack ? scheduling::Urgency::ComingBack : scheduling::Urgency::Fresh;
+    return isRetry ? scheduling::Urgency::ComingBack : scheduling::Urgency::Fresh;
 }
 
 std::uint32_t OpenRequest::priority() const
@@ -27,7 +27,7 @@
 
 OpenRequest &OpenRequests::add(OpenRequest request)
 {
-    const RequestNumber number = request.facts.request;
+    const RequestNumber number = request.arrival.request;
     return m_requests.insert_or_assign(number, std::move(request)).first->second;
 }
 
@@ -39,88 +39,91 @@
 
 void OpenRequests::deliver(Step &step, OpenRequest &request, CallNumber call, int status)
 {
-    if (request.firstAnswer == TimePoint {}) {
-        request.firstAnswer = step.now;
+    if (request.firstAnswerAt == TimePoint {}) {
+        request.firstAnswerAt = step.now;
     }
-    step.add(DeliverAnswer {request.facts.request, call});
+    step.add(DeliverAnswer {request.arrival.request, call});
     constexpr int FirstFailure = 500;
     const auto outcome =
         status < FirstFailure ? RequestOutcome::Served : RequestOutcome::ServerFailed;
-    record(step, request, outcome, "status=" + std::to_string(status));
+    logEnd(step, request, outcome, "status=" + std::to_string(status));
     erase(step, request, outcome);
 }
 
 void OpenRequests::endStream(Step &step, OpenRequest &request)
 {
-    step.add(EndStream {request.facts.request});
-    record(step, request, RequestOutcome::Served, {});
+    step.add(EndStream {request.arrival.request});
+    logEnd(step, request, RequestOutcome::Served, {});
     erase(step, request, RequestOutcome::Served);
 }
 
-void OpenRequests::breakStream(Step &step, OpenRequest &request, const std::string &why)
+void OpenRequests::abortStream(Step &step, OpenRequest &request, const std::string &reason)
 {
-    step.add(BreakStream {request.facts.request});
-    record(step, request, RequestOutcome::Failed, "stream cut: " + why);
+    step.add(BreakStream {request.arrival.request});
+    logEnd(step, request, RequestOutcome::Failed, "stream aborted: " + reason);
     erase(step, request, RequestOutcome::Failed);
 }
 
 void OpenRequests::reject(Step &step, OpenRequest &request, Duration retryAfter,
-                          const std::string &why)
+                          const std::string &reason)
 {
     constexpr int ServiceUnavailable = 503;
-    step.add(RejectRequest {request.facts.request, ServiceUnavailable, retryAfter, why});
-    record(step, request, RequestOutcome::Rejected,
-           why + " retry_after_ms=" + millisecondsText(retryAfter));
+    step.add(RejectRequest {request.arrival.request, ServiceUnavailable, retryAfter, reason});
+    logEnd(step, request, RequestOutcome::Rejected,
+           reason + " retry_after_ms=" + millisecondsText(retryAfter));
     erase(step, request, RequestOutcome::Rejected);
 }
 
 void OpenRequests::refuse(Step &step, OpenRequest &request, const Refusal &refusal)
 {
-    step.add(
-        RejectRequest {request.facts.request, refusal.status, refusal.retryAfter, refusal.why});
-    record(step, request, refusal.outcome,
-           "status=" + std::to_string(refusal.status) + " " + refusal.why);
+    step.add(RejectRequest {request.arrival.request, refusal.status, refusal.retryAfter,
+                            refusal.reason});
+    logEnd(step, request, refusal.outcome,
+           "status=" + std::to_string(refusal.status) + " " + refusal.reason);
     erase(step, request, refusal.outcome);
 }
 
-void OpenRequests::failInDoubt(Step &step, OpenRequest &request, int status, const std::string &why)
+void OpenRequests::failInDoubt(Step &step, OpenRequest &request, int status,
+                               const std::string &reason)
 {
-    step.add(RejectRequest {request.facts.request, status, std::nullopt, why});
-    record(step, request, RequestOutcome::Failed, "status=" + std::to_string(status) + " " + why);
+    step.add(RejectRequest {request.arrival.request, status, std::nullopt, reason});
+    logEnd(step, request, RequestOutcome::Failed,
+           "status=" + std::to_string(status) + " " + reason);
     erase(step, request, RequestOutcome::Failed);
 }
 
-void OpenRequests::dropLeft(Step &step, OpenRequest &request)
+void OpenRequests::closeDisconnected(Step &step, OpenRequest &request)
 {
-    record(step, request, RequestOutcome::CallerLeft, {});
+    logEnd(step, request, RequestOutcome::CallerLeft, {});
     erase(step, request, RequestOutcome::CallerLeft);
 }
 
-void OpenRequests::record(Step &step, const OpenRequest &request, RequestOutcome outcome,
+void OpenRequests::logEnd(Step &step, const OpenRequest &request, RequestOutcome outcome,
                           const std::string &detail)
 {
     std::string text = std::string("outcome=") + nameOf(outcome) + " route="
         + request.route->name.text() + " routes_version=" + std::to_string(request.table->version())
-        + " stage=" + nameOf(request.stage) + " age_ms="
-        + millisecondsText(step.now - request.arrived) + " runs=" + std::to_string(request.runs)
-        + " server=" + request.server.text() + " content=" + request.facts.content.text()
+        + " stage=" + nameOf(request.stage)
+        + " age_ms=" + millisecondsText(step.now - request.arrived)
+        + " runs=" + std::to_string(request.executions) + " server=" + request.server.text()
+        + " content=" + request.arrival.content.text()
         + " organisation=" + (request.organisation ? request.organisation->name.text() : "-");
     if (request.isGeneration()) {
-        text += std::string(request.isComingBack ? " caller=coming_back" : " caller=fresh")
+        text += std::string(request.isRetry ? " caller=coming_back" : " caller=fresh")
             + " patience_ms="
-            + (request.facts.patience ? millisecondsText(*request.facts.patience) : "-")
-            + " prompt=" + std::to_string(request.facts.promptTokens)
+            + (request.arrival.patience ? millisecondsText(*request.arrival.patience) : "-")
+            + " prompt=" + std::to_string(request.arrival.promptTokens)
             + " output_guessed=" + std::to_string(request.memory.outputTokens)
-            + " events=" + std::to_string(request.eventsPassed) + " prefill_server="
+            + " events=" + std::to_string(request.forwardedEvents) + " prefill_server="
             + request.prefillServer.text() + " decode_server=" + request.decodeServer.text()
-            + " room_after_ms=" + elapsedText(request.arrived, request.roomAt)
+            + " room_after_ms=" + elapsedText(request.arrived, request.reservedAt)
             + " prefilled_after_ms=" + elapsedText(request.arrived, request.prefilledAt)
-            + " first_after_ms=" + elapsedText(request.arrived, request.firstAnswer);
+            + " first_after_ms=" + elapsedText(request.arrived, request.firstAnswerAt);
     }
     if (!detail.empty()) {
         text += " " + detail;
     }
-    step.add(RecordDecision {"request_end", request.facts.callerId, std::move(text)});
+    step.add(RecordDecision {"request_end", request.arrival.callerId, std::move(text)});
 }
 
 void OpenRequests::erase(Step &step, const OpenRequest &request, RequestOutcome outcome)
@@ -132,14 +135,14 @@
         ended.organisation = request.organisation->name;
     }
     ended.whole = step.now - request.arrived;
-    if (request.firstAnswer != TimePoint {}) {
-        ended.untilFirst = request.firstAnswer - request.arrived;
+    if (request.firstAnswerAt != TimePoint {}) {
+        ended.untilFirst = request.firstAnswerAt - request.arrived;
     }
     step.add(ended);
-    if (request.quotaUnits > 0 && !request.mayHaveRun() && request.prefillTries == 0) {
+    if (request.quotaUnits > 0 && !request.mayHaveExecuted() && request.prefillAttempts == 0) {
         m_unusedQuota.push_back({request.organisation->name, request.quotaUnits});
     }
-    m_requests.erase(request.facts.request);
+    m_requests.erase(request.arrival.request);
 }
 
 bool carriesRequest(CallKind kind)
--- a/src/dispatch/openrequests.h
+++ b/src/dispatch/openrequests.h
@@ -17,7 +17,7 @@
 
 namespace indigoway::dispatch {
 
-/** Context of one event: the current time, its random generator and the list of effects. */
+/** One step of the reducer: the current time, its random generator and the list of effects. */
 class Step
 {
 public:
@@ -35,16 +35,17 @@
     {
         m_effects.emplace_back(std::forward<Effect>(effect));
     }
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t randomBelow(std::uint64_t bound)
     {
         return bound < 2 ? 0 : std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(random);
     }
     /**
      * Returns a random duration between half and one and a half of @p duration, to spread retries.
      */
-    Duration spread(Duration duration)
+    Duration jitter(Duration duration)
     {
-        return duration / 2 + Duration(below(static_cast<std::uint64_t>(duration.count()) + 1));
+        return duration / 2
+            + Duration(randomBelow(static_cast<std::uint64_t>(duration.count()) + 1));
     }
 
 private:
@@ -64,29 +65,30 @@
 /** A caller's request from arrival to completion. */
 struct OpenRequest
 {
-    ArrivedRequest facts;
+    ArrivedRequest arrival;
     std::shared_ptr<const RouteTable> table;    ///< The table in force at arrival.
     const Route *route = nullptr;               ///< Owned by table.
     const Service *service = nullptr;           ///< Owned by table.
     const Organisation *organisation = nullptr; ///< Owned by table; null if there is none.
     TimePoint arrived {};
-    TimePoint answerBy {}; ///< The earlier of the route's timeout and the caller's.
+    TimePoint deadline {}; ///< The earlier of the route's timeout and the caller's.
 
     Stage stage = Stage::Calling;
     CallNumber call; ///< The current call; none while queued.
     CallKind callKind = CallKind::Plain;
     ServerName server; ///< Server of the current or last call.
     TimePoint callStarted {};
-    std::set<ServerName> tried;
-    std::uint32_t runs = 0;     ///< Calls that a server may have executed.
-    std::uint32_t arrivals = 0; ///< Calls that count against the retry budget, including the first.
+    std::set<ServerName> triedServers;
+    std::uint32_t executions = 0; ///< Calls that a server may have executed.
+    /** Calls that count against the retry budget, including the first. */
+    std::uint32_t countedCalls = 0;
     /** Consecutive crashes of the content when the call was started. */
-    std::uint32_t crashesKnown = 0;
+    std::uint32_t knownCrashes = 0;
     bool isForwarding = false;
-    CallNumber streaming; ///< The call whose events are forwarded.
-    TimePoint firstAnswer {};
-    std::uint32_t eventsPassed = 0;
-    bool isComingBack = false; ///< The caller was rejected before, by any node.
+    CallNumber streamingCall; ///< The call whose events are forwarded.
+    TimePoint firstAnswerAt {};
+    std::uint32_t forwardedEvents = 0;
+    bool isRetry = false; ///< The caller was rejected before, by any node.
 
     double quotaUnits = 0; ///< Units that the keeper has counted against the organisation.
 
@@ -96,16 +98,16 @@
     ServerName plannedPrefill;   ///< Assigned by the scheduler; empty if this node chooses.
     ServerName decodeServer;
     scheduling::MemoryNeed memory;
-    /** Maximum tokens, added to the load of decodeServer while that is set. */
-    std::uint64_t tokens = 0;
+    /** Expected maximum of tokens in memory; part of the load of decodeServer while that is set. */
+    std::uint64_t tokenDemand = 0;
     std::string reservation;
     TimePoint reservedUntil {};
     ServerName prefillServer;
-    std::uint32_t prefillTries = 0;
+    std::uint32_t prefillAttempts = 0;
     std::string handle;
     bool readsWhole = false; ///< The decode engine must process the prompt itself.
     TimePoint waitingSince {};
-    TimePoint roomAt {}; ///< Time of the last granted reservation.
+    TimePoint reservedAt {}; ///< Time of the last granted reservation.
     TimePoint prefilledAt {};
     std::uint32_t refusals = 0; ///< Engines that refused a reservation.
 
@@ -113,7 +115,7 @@
     /** Returns the priority of the organisation if it has one, else that of the route. */
     std::uint32_t priority() const;
     bool isGeneration() const { return route->isStream && service && service->engine; }
-    bool mayHaveRun() const { return runs > 0; }
+    bool mayHaveExecuted() const { return executions > 0; }
 };
 
 /** Stores the open requests and ends each of them exactly once. */
@@ -131,25 +133,25 @@
     /** Completes the forwarded stream. */
     void endStream(Step &step, OpenRequest &request);
     /** Aborts the forwarded stream. */
-    void breakStream(Step &step, OpenRequest &request, const std::string &why);
+    void abortStream(Step &step, OpenRequest &request, const std::string &reason);
     /**
      * Rejects a request that was not executed.
      * @param retryAfter The delay after which the caller should retry.
      */
-    void reject(Step &step, OpenRequest &request, Duration retryAfter, const std::string &why);
+    void reject(Step &step, OpenRequest &request, Duration retryAfter, const std::string &reason);
     struct Refusal
     {
         int status = 0;
         RequestOutcome outcome = RequestOutcome::Rejected;
         std::optional<Duration> retryAfter; ///< Nothing if a retry is useless.
-        std::string why;
+        std::string reason;
     };
     /** Rejects a request that was not executed, with the given status. */
     void refuse(Step &step, OpenRequest &request, const Refusal &refusal);
     /** Fails a request that may have been executed, with status 502, or 504 after a timeout. */
-    void failInDoubt(Step &step, OpenRequest &request, int status, const std::string &why);
+    void failInDoubt(Step &step, OpenRequest &request, int status, const std::string &reason);
     /** Removes a request whose caller has disconnected, without an answer. */
-    void dropLeft(Step &step, OpenRequest &request);
+    void closeDisconnected(Step &step, OpenRequest &request);
 
     /** Quota units of a request that ended without being executed. */
     struct UnusedQuota
@@ -160,7 +162,7 @@
     std::vector<UnusedQuota> takeUnusedQuota() { return std::exchange(m_unusedQuota, {}); }
 
 private:
-    void record(Step &step, const OpenRequest &request, RequestOutcome outcome,
+    void logEnd(Step &step, const OpenRequest &request, RequestOutcome outcome,
                 const std::string &detail);
     void erase(Step &step, const OpenRequest &request, RequestOutcome outcome);
 
--- a/src/dispatch/phasebalance.h
+++ b/src/dispatch/phasebalance.h
@@ -18,16 +18,16 @@
 class PhaseBalance
 {
 public:
-    void learn(const ServiceName &service, const scheduling::GenerationWork &work);
+    void updateWork(const ServiceName &service, const scheduling::GenerationWork &work);
     /** Returns null if no work has been observed. */
     const scheduling::GenerationWork *work(const ServiceName &service) const;
     /**
      * Returns the number of engines, out of @p all, that should prefill for the highest throughput
      * with @p work. Returns @p present if a change would gain little.
      */
-    static std::uint32_t prefillWanted(std::uint32_t all, std::uint32_t present,
-                                       const EngineTraits &traits,
-                                       const scheduling::GenerationWork &work);
+    static std::uint32_t preferredPrefillCount(std::uint32_t all, std::uint32_t present,
+                                               const EngineTraits &traits,
+                                               const scheduling::GenerationWork &work);
 
 private:
     std::map<ServiceName, scheduling::GenerationWork> m_work;
@@ -44,7 +44,7 @@
  * Plans which engines change their phase. A changing engine is out of service for seconds, so only
  * lasting differences are corrected, and the effect of earlier orders is awaited.
  */
-class PhaseOrders
+class PhaseOrderPlanner
 {
 public:
     /**
@@ -56,18 +56,18 @@
                                    const ServerDirectory &servers, const PhaseBalance &balance,
                                    bool mayGive = true);
     /** Cancels the order of an engine that refused it. */
-    void refused(const ServerName &server);
+    void cancel(const ServerName &server);
     /** Returns the phase of the last order. */
     EnginePhase orderedPhase(const ServerName &server) const;
     /** Returns whether the engine may be changing its phase; it gets no new work. */
     bool isChanging(const ServerName &server, TimePoint now) const;
     /** Returns the remaining time of the change; 0 if there is none. */
-    Duration changesFor(const ServerName &server, TimePoint now) const;
+    Duration remainingChangeTime(const ServerName &server, TimePoint now) const;
     /** Removes changes that have ended. */
-    void forget(TimePoint now);
+    void removeExpired(TimePoint now);
 
 private:
-    struct PerService
+    struct ServiceState
     {
         int difference = 0; ///< Prefill engines beyond the wanted number.
         TimePoint since {};
@@ -80,7 +80,7 @@
         TimePoint until {};
     };
 
-    std::map<ServiceName, PerService> m_services;
+    std::map<ServiceName, ServiceState> m_services;
     std::map<ServerName, Change> m_changing;
 };
 
--- a/src/dispatch/phasechanges.cpp
+++ b/src/dispatch/phasecontroller.cpp
@@ -1,23 +1,23 @@
-#include "phasechanges.h"
+#include "phasecontroller.h"
 
 namespace indigoway::dispatch {
 
 namespace {
 
 /** Engines answer orders immediately; the change itself is seen in the announcement. */
-constexpr Duration OrderSilence = std::chrono::milliseconds(1000);
+constexpr Duration OrderTimeout = std::chrono::milliseconds(1000);
 /** Validity of a token after its last check; covers the report call. */
-constexpr Duration TokenHolds = std::chrono::milliseconds(300);
+constexpr Duration TokenValidity = std::chrono::milliseconds(300);
 /** Interval between requests for the work of generations. */
-constexpr Duration AskForWorkEvery = std::chrono::milliseconds(500);
+constexpr Duration WorkRequestInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
-void PhaseChanges::orderPhases(Step &step, const RouteTable &table,
-                               std::optional<std::uint64_t> token)
+void PhaseController::orderPhases(Step &step, const RouteTable &table,
+                                  std::optional<std::uint64_t> token)
 {
     m_wantsToken = false;
-    ++m_looks;
+    ++m_evaluations;
     for (const auto &[name, service] : table.services()) {
         const auto orders =
             m_orders.decide(step.now, service, m_state.servers, m_balance, token.has_value());
@@ -29,9 +29,9 @@
             StartCall call;
             call.kind = CallKind::Report;
             call.orderedPhase = order.phase;
-            call.silentFor = OrderSilence;
+            call.silentFor = OrderTimeout;
             m_state.calls.start(step, *order.server, std::move(call));
-            tellChanging(step, order.server->name, false);
+            reportChange(step, order.server->name, false);
         }
     }
     if (token) {
@@ -40,12 +40,12 @@
     }
 }
 
-void PhaseChanges::askForWork(Step &step, const RouteTable &table)
+void PhaseController::requestWork(Step &step, const RouteTable &table)
 {
-    if (step.now < m_workAskedAt + AskForWorkEvery) {
+    if (step.now < m_workRequestedAt + WorkRequestInterval) {
         return;
     }
-    m_workAskedAt = step.now;
+    m_workRequestedAt = step.now;
     for (const auto &[name, service] : table.services()) {
         if (service.engine) {
             step.add(TellScheduler {scheduling::WorkAsked {name}});
@@ -53,17 +53,17 @@
     }
 }
 
-void PhaseChanges::reportEnded(Step &step, const OpenCall &call, const CallEnded &event)
+void PhaseController::reportEnded(Step &step, const OpenCall &call, const CallEnded &event)
 {
-    m_state.tracker.callDropped(call.server.name);
+    m_state.tracker.callClosed(call.server.name);
     // A restarted engine has a new order count and possibly another phase.
-    const bool isSameLife = event.report
+    const bool isSameInstance = event.report
         && (event.report->startedAt == 0 || call.server.startedAt == 0
             || event.report->startedAt == call.server.startedAt);
-    const bool mayOrder =
-        isSameLife && !event.report->isCarryingOutOrder && step.now <= m_orderTokenAt + TokenHolds;
+    const bool mayOrder = isSameInstance && !event.report->isCarryingOutOrder
+        && step.now <= m_orderTokenAt + TokenValidity;
     if (!mayOrder) {
-        stays(step, call.server.name);
+        cancelOrder(step, call.server.name);
         step.add(RecordDecision {
             "order_not_given", {}, "server=" + call.server.name.text() + " " + event.why});
         return;
@@ -74,7 +74,7 @@
     order.orderedPhase = phase;
     order.fencingToken = m_orderToken;
     order.ordersTaken = event.report->ordersTaken;
-    order.silentFor = OrderSilence;
+    order.silentFor = OrderTimeout;
     m_state.calls.start(step, call.server, std::move(order));
     step.add(RecordDecision {"order",
                              {},
@@ -85,19 +85,20 @@
                                  + workText(call.server.service)});
 }
 
-void PhaseChanges::stays(Step &step, const ServerName &server)
+void PhaseController::cancelOrder(Step &step, const ServerName &server)
 {
-    m_orders.refused(server);
-    tellChanging(step, server, false);
+    m_orders.cancel(server);
+    reportChange(step, server, false);
 }
 
-void PhaseChanges::tellChanging(Step &step, const ServerName &server, bool isAccepted) const
+void PhaseController::reportChange(Step &step, const ServerName &server, bool isAccepted) const
 {
-    step.add(TellScheduler {scheduling::EngineChanging {
-        server, m_orders.orderedPhase(server), m_orders.changesFor(server, step.now), isAccepted}});
+    step.add(TellScheduler {
+        scheduling::EngineChanging {server, m_orders.orderedPhase(server),
+                                    m_orders.remainingChangeTime(server, step.now), isAccepted}});
 }
 
-std::string PhaseChanges::workText(const ServiceName &service) const
+std::string PhaseController::workText(const ServiceName &service) const
 {
     const scheduling::GenerationWork *work = m_balance.work(service);
     return work ? " prefill_s=" + std::to_string(work->prefillSeconds)
@@ -105,9 +106,9 @@
                 : std::string();
 }
 
-void PhaseChanges::orderEnded(Step &step, const OpenCall &call, const CallEnded &event)
+void PhaseController::orderEnded(Step &step, const OpenCall &call, const CallEnded &event)
 {
-    m_state.tracker.callDropped(call.server.name);
+    m_state.tracker.callClosed(call.server.name);
     constexpr int Ok = 200;
     constexpr int Accepted = 202;
     const bool isTaken =
@@ -115,9 +116,9 @@
     const bool isRefused = event.end == CallEnd::NotExecuted || event.end == CallEnd::NotConnected
         || (event.end == CallEnd::Complete && !isTaken);
     if (isRefused) {
-        stays(step, call.server.name);
+        cancelOrder(step, call.server.name);
     } else {
-        tellChanging(step, call.server.name, isTaken);
+        reportChange(step, call.server.name, isTaken);
     }
     // An order without an answer may still be executed, so the engine counts as changing.
     step.add(RecordDecision {"order_ended",
--- a/src/dispatch/plainflow.h
+++ b/src/dispatch/plainflow.h
@@ -19,17 +19,18 @@
     void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) override;
     void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                    const CallEnded &event) override;
-    void orphanEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
+    void orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
     void release(Step &step, OpenRequest &request) override;
     std::optional<TimePoint> tick(Step &step) override;
 
 private:
     void send(Step &step, OpenRequest &request);
-    const AnnouncedServer *pick(Step &step, const OpenRequest &request) const;
-    bool mayRunAgain(const OpenRequest &request) const;
-    void answered(Step &step, OpenRequest &request, const OpenCall &call, const CallEnded &event);
-    void turnedAway(Step &step, OpenRequest &request, const std::string &why);
-    void broken(Step &step, OpenRequest &request, const CallEnded &event);
+    const AnnouncedServer *pickServer(Step &step, const OpenRequest &request) const;
+    bool mayRetry(const OpenRequest &request) const;
+    void handleAnswer(Step &step, OpenRequest &request, const OpenCall &call,
+                      const CallEnded &event);
+    void handleRejection(Step &step, OpenRequest &request, const std::string &reason);
+    void handleFailure(Step &step, OpenRequest &request, const CallEnded &event);
 
     DispatchState &m_state;
 };
--- a/src/dispatch/patienceseen.h
+++ b/src/dispatch/retrydetector.h
@@ -10,13 +10,13 @@
  * Detects requests that are retries of a rejected caller. Each attempt has its own id, but callers
  * send the time they have left, which is clearly shorter after a wait.
  */
-class PatienceSeen
+class RetryDetector
 {
 public:
-    bool isComingBack(const OpenRequest &request);
+    bool isRetry(const OpenRequest &request);
 
-    /** Longest remaining time by route. */
 private:
+    /** Longest remaining time by route. */
     std::map<RouteName, Duration> m_most;
 };
 
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -11,59 +11,59 @@
 using namespace scheduling;
 
 /** Round trip time with a margin for a busy scheduler. */
-constexpr Duration RepeatUnanswered = std::chrono::milliseconds(80);
+constexpr Duration UnansweredRepeatInterval = std::chrono::milliseconds(80);
 /** Interval for queued claims, whose grant may have been lost. */
-constexpr Duration RepeatQueued = std::chrono::milliseconds(150);
+constexpr Duration QueuedRepeatInterval = std::chrono::milliseconds(150);
 /** Consecutive losses that rule out random datagram loss. */
-constexpr std::uint32_t MostUnanswered = 3;
+constexpr std::uint32_t MaxUnanswered = 3;
 /** Time until a killed node restarts or another one takes over. */
-constexpr Duration LeftAlone = std::chrono::milliseconds(1000);
+constexpr Duration UnavailableTime = std::chrono::milliseconds(1000);
 
 } // namespace
 
 void SchedulerClaims::setScheduler(std::optional<NodeName> name)
 {
     m_scheduler = std::move(name);
-    m_silentUntil = {};
-    m_isTold = !m_scheduler;
+    m_unavailableUntil = {};
+    m_hasReportedReservations = !m_scheduler;
 }
 
 void SchedulerClaims::claim(Step &step, OpenRequest &request, const DomainName &domain,
                             Duration waitsAtMost)
 {
-    request.claim = ClaimId(++m_last);
+    request.claim = ClaimId(++m_lastClaim);
     const bool readsWhole =
-        request.facts.isContinuation || request.eventsPassed > 0 || request.readsWhole;
+        request.arrival.isContinuation || request.forwardedEvents > 0 || request.readsWhole;
     Claim message;
     message.claim = request.claim;
     message.service = request.service->name;
     message.domain = domain;
-    message.promptTokens = readsWhole ? 0 : request.facts.promptTokens;
+    message.promptTokens = readsWhole ? 0 : request.arrival.promptTokens;
     message.memory = request.memory;
     message.urgency = request.urgency();
     message.priority = request.priority();
     message.waitsAtMost = waitsAtMost;
     message.untilTarget = request.arrived + request.route->target - step.now;
-    message.lasts = request.answerBy - step.now;
-    message.without.assign(request.tried.begin(), request.tried.end());
-    m_open[request.claim] = {request.facts.request, message, step.now, 1};
+    message.lasts = request.deadline - step.now;
+    message.without.assign(request.triedServers.begin(), request.triedServers.end());
+    m_pending[request.claim] = {request.arrival.request, message, step.now, 1};
     send(step, std::move(message));
 }
 
-void SchedulerClaims::tellHeld(Step &step, OpenRequest &request)
+void SchedulerClaims::reportReservation(Step &step, OpenRequest &request)
 {
-    if (!isUsable(step.now)) {
+    if (!isAvailable(step.now)) {
         return;
     }
     if (request.claim.isNone()) {
-        request.claim = ClaimId(++m_last);
+        request.claim = ClaimId(++m_lastClaim);
     }
-    RoomHeld held {request.claim,        request.service->name,       request.memory,
-                   request.decodeServer, request.answerBy - step.now, std::nullopt};
-    if (request.firstAnswer != TimePoint {}) {
-        held.decodingFor = step.now - request.firstAnswer;
+    RoomHeld report {request.claim,        request.service->name,       request.memory,
+                     request.decodeServer, request.deadline - step.now, std::nullopt};
+    if (request.firstAnswerAt != TimePoint {}) {
+        report.decodingFor = step.now - request.firstAnswerAt;
     }
-    send(step, std::move(held));
+    send(step, std::move(report));
 }
 
 void SchedulerClaims::prefillEnded(Step &step, const OpenRequest &request, bool isDone,
@@ -74,36 +74,36 @@
     }
 }
 
-void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimEnd how)
+void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimEnd result)
 {
     if (request.claim.isNone()) {
         return;
     }
-    m_open.erase(request.claim);
-    const std::uint64_t made = how == ClaimEnd::Served
-        ? std::uint64_t {request.eventsPassed} * request.service->engine->tokensPerEvent
+    m_pending.erase(request.claim);
+    const std::uint64_t made = result == ClaimEnd::Served
+        ? std::uint64_t {request.forwardedEvents} * request.service->engine->tokensPerEvent
         : 0;
-    send(step, ClaimEnded {request.claim, how, made});
+    send(step, ClaimEnded {request.claim, result, made});
     request.claim = {};
 }
 
 std::optional<RequestNumber> SchedulerClaims::answered(Step &step, const FromScheduler &message,
                                                        Incarnation life, OpenRequests &requests)
 {
-    const bool isNew = life != m_life;
-    m_life = life;
-    m_silentUntil = {};
+    const bool isNew = life != m_schedulerIncarnation;
+    m_schedulerIncarnation = life;
+    m_unavailableUntil = {};
     if (isNew) {
-        tellAllHeld(step, requests);
+        reportAllReservations(step, requests);
     }
     const ClaimId claim = scheduling::claimOf(message);
-    const auto it = m_open.find(claim);
-    if (it == m_open.end()) {
+    const auto it = m_pending.find(claim);
+    if (it == m_pending.end()) {
         if (std::holds_alternative<ClaimGranted>(message)) {
             // The request has ended, or this node chose engines for it.
-            const bool isHeld = std::ranges::any_of(
+            const bool isInUse = std::ranges::any_of(
                 requests.all(), [claim](const auto &one) { return one.second.claim == claim; });
-            if (!isHeld) {
+            if (!isInUse) {
                 send(step, ClaimEnded {claim, ClaimEnd::Dropped});
             }
         }
@@ -115,47 +115,47 @@
         return std::nullopt;
     }
     const RequestNumber request = it->second.request;
-    m_open.erase(it);
+    m_pending.erase(it);
     return request;
 }
 
-void SchedulerClaims::tellAllHeld(Step &step, OpenRequests &requests)
+void SchedulerClaims::reportAllReservations(Step &step, OpenRequests &requests)
 {
     for (auto &[number, request] : requests.all()) {
         if (!request.decodeServer.isEmpty()) {
-            tellHeld(step, request);
+            reportReservation(step, request);
         }
     }
 }
 
 std::vector<RequestNumber> SchedulerClaims::tick(Step &step, OpenRequests &requests)
 {
-    if (!m_isTold) {
+    if (!m_hasReportedReservations) {
         // Waiting for the next claim could take seconds, in which the new scheduler would grant
         // memory in use.
-        m_isTold = true;
-        tellAllHeld(step, requests);
+        m_hasReportedReservations = true;
+        reportAllReservations(step, requests);
     }
-    if (!m_open.empty() && !m_scheduler) {
-        return voidAll(step);
+    if (!m_pending.empty() && !m_scheduler) {
+        return withdrawAll(step);
     }
-    for (auto &[number, open] : m_open) {
-        if (step.now < open.sentAt + repeatAfter(open)) {
+    for (auto &[number, pending] : m_pending) {
+        if (step.now < pending.sentAt + repeatInterval(pending)) {
             continue;
         }
-        if (open.unanswered >= MostUnanswered) {
-            m_silentUntil = step.now + LeftAlone;
+        if (pending.unanswered >= MaxUnanswered) {
+            m_unavailableUntil = step.now + UnavailableTime;
             step.add(RecordDecision {"scheduler_silent",
                                      {},
                                      "scheduler=" + m_scheduler->text()
-                                         + " claims=" + std::to_string(m_open.size())});
-            return voidAll(step);
+                                         + " claims=" + std::to_string(m_pending.size())});
+            return withdrawAll(step);
         }
-        ++open.unanswered;
-        open.message.untilTarget -= step.now - open.sentAt;
-        open.message.lasts -= step.now - open.sentAt;
-        open.sentAt = step.now;
-        send(step, open.message);
+        ++pending.unanswered;
+        pending.message.untilTarget -= step.now - pending.sentAt;
+        pending.message.lasts -= step.now - pending.sentAt;
+        pending.sentAt = step.now;
+        send(step, pending.message);
     }
     return {};
 }
@@ -163,26 +163,26 @@
 std::optional<TimePoint> SchedulerClaims::nextTick() const
 {
     std::optional<TimePoint> next;
-    for (const auto &[number, open] : m_open) {
-        next = earlier(next, open.sentAt + repeatAfter(open));
+    for (const auto &[number, pending] : m_pending) {
+        next = earlier(next, pending.sentAt + repeatInterval(pending));
     }
     return next;
 }
 
-Duration SchedulerClaims::repeatAfter(const Open &open)
+Duration SchedulerClaims::repeatInterval(const PendingClaim &pending)
 {
-    return open.unanswered > 0 ? RepeatUnanswered : RepeatQueued;
+    return pending.unanswered > 0 ? UnansweredRepeatInterval : QueuedRepeatInterval;
 }
 
-std::vector<RequestNumber> SchedulerClaims::voidAll(Step &step)
+std::vector<RequestNumber> SchedulerClaims::withdrawAll(Step &step)
 {
     std::vector<RequestNumber> requests;
-    for (const auto &[number, open] : m_open) {
-        requests.push_back(open.request);
+    for (const auto &[number, pending] : m_pending) {
+        requests.push_back(pending.request);
         // A scheduler that is still running must not hold capacity for these claims.
         send(step, ClaimEnded {number, ClaimEnd::Dropped});
     }
-    m_open.clear();
+    m_pending.clear();
     return requests;
 }
 
--- a/src/dispatch/schedulerclaims.h
+++ b/src/dispatch/schedulerclaims.h
@@ -22,15 +22,15 @@
      * to it at the next tick.
      */
     void setScheduler(std::optional<NodeName> name);
-    bool isUsable(TimePoint now) const { return m_scheduler && now >= m_silentUntil; }
+    bool isAvailable(TimePoint now) const { return m_scheduler && now >= m_unavailableUntil; }
 
     /** Sends a claim for @p request, which must not have one. */
     void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration waitsAtMost);
     /** Reports a reservation that this node made without a claim. */
-    void tellHeld(Step &step, OpenRequest &request);
+    void reportReservation(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, const OpenRequest &request, bool isDone, bool isReachable);
     /** Ends the claim of @p request and releases what it was granted. */
-    void end(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
+    void end(Step &step, OpenRequest &request, scheduling::ClaimEnd result);
 
     /**
      * Handles an answer of the scheduler. All reservations in @p requests are reported to a new
@@ -46,10 +46,10 @@
      */
     std::vector<RequestNumber> tick(Step &step, OpenRequests &requests);
     std::optional<TimePoint> nextTick() const;
-    std::size_t open() const { return m_open.size(); }
+    std::size_t open() const { return m_pending.size(); }
 
 private:
-    struct Open
+    struct PendingClaim
     {
         RequestNumber request;
         scheduling::Claim message;
@@ -57,17 +57,18 @@
         std::uint32_t unanswered = 0; ///< Repetitions since the last answer.
     };
 
-    void tellAllHeld(Step &step, OpenRequests &requests);
-    static Duration repeatAfter(const Open &open);
-    std::vector<RequestNumber> voidAll(Step &step);
+    void reportAllReservations(Step &step, OpenRequests &requests);
+    static Duration repeatInterval(const PendingClaim &pending);
+    std::vector<RequestNumber> withdrawAll(Step &step);
     void send(Step &step, scheduling::ToScheduler message) const;
 
     std::optional<NodeName> m_scheduler;
-    bool m_isTold = true; ///< Whether the reservations of this node were reported to the scheduler.
-    Incarnation m_life;   ///< Of the scheduler that answered last.
-    TimePoint m_silentUntil {};
-    std::map<scheduling::ClaimId, Open> m_open; ///< Claims without a decision.
-    std::uint64_t m_last = 0;
+    /** Whether the reservations of this node were reported to the scheduler. */
+    bool m_hasReportedReservations = true;
+    Incarnation m_schedulerIncarnation; ///< Of the scheduler that answered last.
+    TimePoint m_unavailableUntil {};
+    std::map<scheduling::ClaimId, PendingClaim> m_pending; ///< Claims without a decision.
+    std::uint64_t m_lastClaim = 0;
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/servercalls.cpp
+++ b/src/dispatch/servercalls.cpp
@@ -8,7 +8,7 @@
     call.server = server.name;
     call.instance = server.instance;
     call.address = server.address;
-    m_tracker.callStarted(server.name);
+    m_serverTracker.callStarted(server.name);
     m_calls.emplace(call.call, OpenCall {call.request, call.kind, server, step.now});
     const CallNumber number = call.call;
     step.add(std::move(call));
@@ -21,7 +21,7 @@
     if (it == m_calls.end()) {
         return;
     }
-    m_tracker.callDropped(it->second.server.name);
+    m_serverTracker.callClosed(it->second.server.name);
     m_calls.erase(it);
     step.add(AbandonCall {call});
 }
--- a/src/dispatch/servercalls.h
+++ b/src/dispatch/servercalls.h
@@ -23,7 +23,7 @@
 {
 public:
     explicit ServerCalls(ServerTracker &tracker)
-        : m_tracker(tracker)
+        : m_serverTracker(tracker)
     { }
 
     /** Sets number, server and address of @p call and starts it. */
@@ -34,7 +34,7 @@
     const OpenCall *find(CallNumber call) const;
 
 private:
-    ServerTracker &m_tracker;
+    ServerTracker &m_serverTracker;
     std::map<CallNumber, OpenCall> m_calls;
     std::uint64_t m_last = 0;
 };
--- a/src/dispatch/servertracker.cpp
+++ b/src/dispatch/servertracker.cpp
@@ -9,21 +9,21 @@
 /** Weight of one sample in the moving averages. */
 constexpr double SampleWeight = 0.2;
 /** Answer time for a service without any samples; only relative values matter. */
-constexpr double UnknownMilliseconds = 30;
-/** Factor on the typical time for a server without recent samples, so that it is tried. */
-constexpr double UnseenPart = 0.5;
+constexpr double DefaultMilliseconds = 30;
+/** Factor on the mean time for a server without recent samples, so that it is tried. */
+constexpr double UnknownServerFactor = 0.5;
 /** Half-life of the samples, so that slow servers are tried again. */
 constexpr Duration HalfLife = std::chrono::seconds(3);
 /** Time during which a reported load is considered current. */
-constexpr Duration LoadFresh = std::chrono::milliseconds(300);
+constexpr Duration LoadValidity = std::chrono::milliseconds(300);
 /** Consecutive failures after which a server is avoided. */
 constexpr std::uint32_t FailuresToAvoid = 2;
-constexpr Duration FirstAvoidance = std::chrono::milliseconds(800);
+constexpr Duration InitialAvoidance = std::chrono::milliseconds(800);
 /** Limits the time until a restarted server is used again. */
-constexpr Duration LongestAvoidance = std::chrono::milliseconds(3200);
-constexpr std::uint32_t MostDoublings = 2;
+constexpr Duration MaxAvoidance = std::chrono::milliseconds(3200);
+constexpr std::uint32_t MaxDoublings = 2;
 
-double fading(TimePoint since, TimePoint now)
+double decayWeight(TimePoint since, TimePoint now)
 {
     const double halfLives =
         static_cast<double>((now - since).count()) / static_cast<double>(HalfLife.count());
@@ -34,80 +34,84 @@
 
 void ServerTracker::callStarted(const ServerName &server)
 {
-    ++m_seen[server].open;
+    ++m_statistics[server].openCalls;
 }
 
-void ServerTracker::callDropped(const ServerName &server)
+void ServerTracker::callClosed(const ServerName &server)
 {
-    Seen &seen = m_seen[server];
-    if (seen.open > 0) {
-        --seen.open;
+    ServerStatistics &statistics = m_statistics[server];
+    if (statistics.openCalls > 0) {
+        --statistics.openCalls;
     }
 }
 
-void ServerTracker::answered(const ServerName &server, Duration took, bool wasWell, TimePoint now)
+void ServerTracker::recordAnswer(const ServerName &server, Duration took, bool isSuccess,
+                                 TimePoint now)
 {
-    callDropped(server);
-    Seen &seen = m_seen[server];
+    callClosed(server);
+    ServerStatistics &statistics = m_statistics[server];
     const double milliseconds = static_cast<double>(took.count()) / 1000.0;
-    seen.milliseconds = seen.milliseconds == 0
+    statistics.averageMilliseconds = statistics.averageMilliseconds == 0
         ? milliseconds
-        : seen.milliseconds + SampleWeight * (milliseconds - seen.milliseconds);
-    sampleFailure(seen, !wasWell, now);
-    seen.failuresInRow = 0;
-    seen.avoidedUntil = {};
+        : statistics.averageMilliseconds
+            + SampleWeight * (milliseconds - statistics.averageMilliseconds);
+    addFailureSample(statistics, !isSuccess, now);
+    statistics.consecutiveFailures = 0;
+    statistics.avoidedUntil = {};
 }
 
-void ServerTracker::turnedAway(const ServerName &server)
+void ServerTracker::recordRejection(const ServerName &server)
 {
-    callDropped(server);
+    callClosed(server);
 }
 
-void ServerTracker::failed(const ServerName &server, TimePoint now)
+void ServerTracker::recordFailure(const ServerName &server, TimePoint now)
 {
-    callDropped(server);
-    Seen &seen = m_seen[server];
-    sampleFailure(seen, true, now);
-    ++seen.failuresInRow;
-    if (seen.failuresInRow < FailuresToAvoid) {
+    callClosed(server);
+    ServerStatistics &statistics = m_statistics[server];
+    addFailureSample(statistics, true, now);
+    ++statistics.consecutiveFailures;
+    if (statistics.consecutiveFailures < FailuresToAvoid) {
         return;
     }
-    const std::uint32_t doublings = std::min(seen.failuresInRow - FailuresToAvoid, MostDoublings);
-    seen.avoidedUntil = now + std::min(FirstAvoidance * (1 << doublings), LongestAvoidance);
+    const std::uint32_t doublings =
+        std::min(statistics.consecutiveFailures - FailuresToAvoid, MaxDoublings);
+    statistics.avoidedUntil = now + std::min(InitialAvoidance * (1 << doublings), MaxAvoidance);
 }
 
-void ServerTracker::unreachable(const ServerName &server, TimePoint now)
+void ServerTracker::recordUnreachable(const ServerName &server, TimePoint now)
 {
-    Seen &seen = m_seen[server];
-    seen.failuresInRow = std::max(seen.failuresInRow, FailuresToAvoid - 1);
-    failed(server, now);
+    ServerStatistics &statistics = m_statistics[server];
+    statistics.consecutiveFailures = std::max(statistics.consecutiveFailures, FailuresToAvoid - 1);
+    recordFailure(server, now);
 }
 
-void ServerTracker::loadTold(const ServerName &server, const ServerLoad &load, TimePoint now)
+void ServerTracker::recordLoad(const ServerName &server, const ServerLoad &load, TimePoint now)
 {
-    Seen &seen = m_seen[server];
-    seen.load = load;
-    seen.loadAt = now;
+    ServerStatistics &statistics = m_statistics[server];
+    statistics.load = load;
+    statistics.loadReportedAt = now;
 }
 
 void ServerTracker::forget(const ServerName &server)
 {
-    const auto it = m_seen.find(server);
-    if (it != m_seen.end() && it->second.open == 0) {
-        m_seen.erase(it);
+    const auto it = m_statistics.find(server);
+    if (it != m_statistics.end() && it->second.openCalls == 0) {
+        m_statistics.erase(it);
     }
 }
 
 std::uint32_t ServerTracker::openCalls(const ServerName &server) const
 {
-    const auto it = m_seen.find(server);
-    return it == m_seen.end() ? 0 : it->second.open;
+    const auto it = m_statistics.find(server);
+    return it == m_statistics.end() ? 0 : it->second.openCalls;
 }
 
-std::optional<ServerLoad> ServerTracker::freshLoad(const ServerName &server, TimePoint now) const
+std::optional<ServerLoad> ServerTracker::recentLoad(const ServerName &server, TimePoint now) const
 {
-    const auto it = m_seen.find(server);
-    if (it == m_seen.end() || !it->second.load || now > it->second.loadAt + LoadFresh) {
+    const auto it = m_statistics.find(server);
+    if (it == m_statistics.end() || !it->second.load
+        || now > it->second.loadReportedAt + LoadValidity) {
         return std::nullopt;
     }
     return it->second.load;
@@ -115,64 +119,67 @@
 
 bool ServerTracker::isAvoided(const ServerName &server, TimePoint now) const
 {
-    const auto it = m_seen.find(server);
-    return it != m_seen.end() && now < it->second.avoidedUntil;
+    const auto it = m_statistics.find(server);
+    return it != m_statistics.end() && now < it->second.avoidedUntil;
 }
 
 std::vector<const AnnouncedServer *>
-ServerTracker::preferred(const std::vector<const AnnouncedServer *> &servers, TimePoint now) const
+ServerTracker::preferredServers(const std::vector<const AnnouncedServer *> &servers,
+                                TimePoint now) const
 {
-    std::vector<const AnnouncedServer *> good;
+    std::vector<const AnnouncedServer *> usable;
     for (const AnnouncedServer *server : servers) {
         if (!isAvoided(server->name, now)) {
-            good.push_back(server);
+            usable.push_back(server);
         }
     }
     // If most servers fail, this node's own network is the likely cause.
-    return good.size() * 2 < servers.size() ? servers : good;
+    return usable.size() * 2 < servers.size() ? servers : usable;
 }
 
-double ServerTracker::typicalMilliseconds(const std::vector<const AnnouncedServer *> &servers) const
+double
+ServerTracker::meanAnswerMilliseconds(const std::vector<const AnnouncedServer *> &servers) const
 {
     double sum = 0;
-    int known = 0;
+    int count = 0;
     for (const AnnouncedServer *server : servers) {
-        const auto it = m_seen.find(server->name);
-        if (it != m_seen.end() && it->second.milliseconds > 0) {
-            sum += it->second.milliseconds;
-            ++known;
+        const auto it = m_statistics.find(server->name);
+        if (it != m_statistics.end() && it->second.averageMilliseconds > 0) {
+            sum += it->second.averageMilliseconds;
+            ++count;
         }
     }
-    return known == 0 ? UnknownMilliseconds : sum / known;
+    return count == 0 ? DefaultMilliseconds : sum / count;
 }
 
-double ServerTracker::expectedMilliseconds(const ServerName &server, double typical,
-                                           TimePoint now) const
+double ServerTracker::expectedAnswerMilliseconds(const ServerName &server, double mean,
+                                                 TimePoint now) const
 {
-    const double unseen = UnseenPart * typical;
-    const auto it = m_seen.find(server);
-    if (it == m_seen.end()) {
-        return unseen;
+    const double unknownServer = UnknownServerFactor * mean;
+    const auto it = m_statistics.find(server);
+    if (it == m_statistics.end()) {
+        return unknownServer;
     }
-    const Seen &seen = it->second;
-    const double weight = fading(seen.lastSample, now);
-    const double base =
-        seen.milliseconds == 0 ? unseen : weight * seen.milliseconds + (1 - weight) * unseen;
-    double others = seen.open;
-    if (const auto load = freshLoad(server, now)) {
+    const ServerStatistics &statistics = it->second;
+    const double weight = decayWeight(statistics.lastSampleAt, now);
+    const double base = statistics.averageMilliseconds == 0
+        ? unknownServer
+        : weight * statistics.averageMilliseconds + (1 - weight) * unknownServer;
+    double competingCalls = statistics.openCalls;
+    if (const auto load = recentLoad(server, now)) {
         const std::uint32_t all = load->running + load->waiting;
         const double beyondSlots = all > load->slots ? all - load->slots : 0;
-        others = std::max(others, beyondSlots + 0.1 * all);
+        competingCalls = std::max(competingCalls, beyondSlots + 0.1 * all);
     }
     // A failure costs a retry, several times the answer time.
     constexpr double FailureCost = 4;
-    return base * (1 + others) * (1 + FailureCost * weight * seen.failureShare);
+    return base * (1 + competingCalls) * (1 + FailureCost * weight * statistics.failureRate);
 }
 
-void ServerTracker::sampleFailure(Seen &seen, bool wasFailure, TimePoint now)
+void ServerTracker::addFailureSample(ServerStatistics &statistics, bool isFailure, TimePoint now)
 {
-    seen.failureShare += SampleWeight * ((wasFailure ? 1.0 : 0.0) - seen.failureShare);
-    seen.lastSample = now;
+    statistics.failureRate += SampleWeight * ((isFailure ? 1.0 : 0.0) - statistics.failureRate);
+    statistics.lastSampleAt = now;
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/servertracker.h
+++ b/src/dispatch/servertracker.h
@@ -19,57 +19,57 @@
 public:
     void callStarted(const ServerName &server);
     /** Records the end of a call without a result for the statistics. */
-    void callDropped(const ServerName &server);
+    void callClosed(const ServerName &server);
     /**
      * Records an answer.
      * @param took The answer time.
-     * @param wasWell False for a server error.
+     * @param isSuccess False for a server error.
      */
-    void answered(const ServerName &server, Duration took, bool wasWell, TimePoint now);
+    void recordAnswer(const ServerName &server, Duration took, bool isSuccess, TimePoint now);
     /** Records a rejection, which does not indicate a failure. */
-    void turnedAway(const ServerName &server);
+    void recordRejection(const ServerName &server);
     /** Records an aborted or timed-out call. */
-    void failed(const ServerName &server, TimePoint now);
+    void recordFailure(const ServerName &server, TimePoint now);
     /** Records a failed connection attempt. The server is avoided at once. */
-    void unreachable(const ServerName &server, TimePoint now);
-    void loadTold(const ServerName &server, const ServerLoad &load, TimePoint now);
+    void recordUnreachable(const ServerName &server, TimePoint now);
+    void recordLoad(const ServerName &server, const ServerLoad &load, TimePoint now);
     void forget(const ServerName &server);
 
     std::uint32_t openCalls(const ServerName &server) const;
-    std::optional<ServerLoad> freshLoad(const ServerName &server, TimePoint now) const;
+    std::optional<ServerLoad> recentLoad(const ServerName &server, TimePoint now) const;
     /** Returns whether new work should go to other servers if there are any. */
     bool isAvoided(const ServerName &server, TimePoint now) const;
     /**
      * Returns @p servers without the avoided ones, or all of them if fewer than half would remain.
      */
     std::vector<const AnnouncedServer *>
-    preferred(const std::vector<const AnnouncedServer *> &servers, TimePoint now) const;
+    preferredServers(const std::vector<const AnnouncedServer *> &servers, TimePoint now) const;
     /** Returns the mean answer time of @p servers, in milliseconds. */
-    double typicalMilliseconds(const std::vector<const AnnouncedServer *> &servers) const;
+    double meanAnswerMilliseconds(const std::vector<const AnnouncedServer *> &servers) const;
     /**
      * Returns the expected time to a successful answer to a new call, in milliseconds, from the
      * answer times, failures and open calls. For comparisons between servers of one service.
-     * @param typical The mean answer time of the service; half of it is assumed for servers without
+     * @param mean The mean answer time of the service; half of it is assumed for servers without
      * recent samples.
      */
-    double expectedMilliseconds(const ServerName &server, double typical, TimePoint now) const;
+    double expectedAnswerMilliseconds(const ServerName &server, double mean, TimePoint now) const;
 
 private:
-    struct Seen
+    struct ServerStatistics
     {
-        std::uint32_t open = 0;
-        double milliseconds = 0; ///< Moving average; 0 without samples.
-        double failureShare = 0; ///< Moving average.
-        std::uint32_t failuresInRow = 0;
-        TimePoint lastSample {};
+        std::uint32_t openCalls = 0;
+        double averageMilliseconds = 0; ///< Moving average; 0 without samples.
+        double failureRate = 0;         ///< Moving average.
+        std::uint32_t consecutiveFailures = 0;
+        TimePoint lastSampleAt {};
         TimePoint avoidedUntil {};
         std::optional<ServerLoad> load;
-        TimePoint loadAt {};
+        TimePoint loadReportedAt {};
     };
 
-    void sampleFailure(Seen &seen, bool wasFailure, TimePoint now);
+    void addFailureSample(ServerStatistics &statistics, bool isFailure, TimePoint now);
 
-    std::map<ServerName, Seen> m_seen;
+    std::map<ServerName, ServerStatistics> m_statistics;
 };
 
 } // namespace indigoway::dispatch
--- a/tests/dispatch/crashrecordstest.cpp
+++ b/tests/dispatch/crashrecordstest.cpp
@@ -21,70 +21,70 @@
 class CrashRecordsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashRecordsTest);
-    CPPUNIT_TEST(theHighestCountHolds);
-    CPPUNIT_TEST(anAnswerCoversWhatCameBeforeIt);
-    CPPUNIT_TEST(theOrderOfAListDoesNotMatter);
-    CPPUNIT_TEST(whatIsOldIsForgotten);
-    CPPUNIT_TEST(remembersABoundedNumber);
+    CPPUNIT_TEST(highestCountApplies);
+    CPPUNIT_TEST(answerClearsEarlierCrashes);
+    CPPUNIT_TEST(recordsApplyInAnyOrder);
+    CPPUNIT_TEST(entriesExpire);
+    CPPUNIT_TEST(entriesAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void theHighestCountHolds()
+    void highestCountApplies()
     {
         CrashRecords records;
         CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
-        records.crashed(Content, 2, 10, at(0));
-        records.crashed(Content, 1, 11, at(0));
+        records.recordCrash(Content, 2, 10, at(0));
+        records.recordCrash(Content, 1, 11, at(0));
         CPPUNIT_ASSERT_EQUAL(2U, records.crashes(Content));
         CPPUNIT_ASSERT(!records.refusedUntil(Content));
-        records.crashed(Content, 7, 12, at(1));
+        records.recordCrash(Content, 7, 12, at(1));
         CPPUNIT_ASSERT_EQUAL(3U, records.crashes(Content));
-        CPPUNIT_ASSERT(*records.refusedUntil(Content) == at(1) + CrashRecords::KeptFor);
+        CPPUNIT_ASSERT(*records.refusedUntil(Content) == at(1) + CrashRecords::RetentionTime);
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, records.refused());
     }
 
-    void anAnswerCoversWhatCameBeforeIt()
+    void answerClearsEarlierCrashes()
     {
         CrashRecords records;
-        records.crashed(Content, 3, 10, at(0));
-        records.answered(Content, 11, at(0));
+        records.recordCrash(Content, 3, 10, at(0));
+        records.recordAnswer(Content, 11, at(0));
         CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
-        records.crashed(Content, 1, 12, at(0));
+        records.recordCrash(Content, 1, 12, at(0));
         CPPUNIT_ASSERT_EQUAL(1U, records.crashes(Content));
-        records.answered(Content, CrashRecords::NotStored, at(0));
+        records.recordAnswer(Content, CrashRecords::UnconfirmedRevision, at(0));
         CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
     }
 
     // A starting node reads the records ordered by key, not by revision.
-    void theOrderOfAListDoesNotMatter()
+    void recordsApplyInAnyOrder()
     {
         CrashRecords records;
-        records.answered(Content, 11, at(0));
-        records.crashed(Content, 1, 12, at(0));
-        records.crashed(Content, 3, 10, at(0));
+        records.recordAnswer(Content, 11, at(0));
+        records.recordCrash(Content, 1, 12, at(0));
+        records.recordCrash(Content, 3, 10, at(0));
         CPPUNIT_ASSERT_EQUAL(1U, records.crashes(Content));
     }
 
-    void whatIsOldIsForgotten()
+    void entriesExpire()
     {
         CrashRecords records;
-        records.crashed(Content, 3, 10, at(0));
-        records.forgetOld(at(599));
+        records.recordCrash(Content, 3, 10, at(0));
+        records.removeExpired(at(599));
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, records.size());
-        records.forgetOld(at(601));
+        records.removeExpired(at(601));
         CPPUNIT_ASSERT_EQUAL(std::size_t {0}, records.size());
     }
 
     // Requests of other callers at crashed servers must neither exceed the memory bound nor evict
     // refused contents.
-    void remembersABoundedNumber()
+    void entriesAreBounded()
     {
         CrashRecords records;
-        records.crashed(Content, 3, 1, at(0));
+        records.recordCrash(Content, 3, 1, at(0));
         for (int i = 0; i < 5'000; ++i) {
-            records.crashed(ContentId("other " + std::to_string(i)), 1, 2, at(i / 100));
+            records.recordCrash(ContentId("other " + std::to_string(i)), 1, 2, at(i / 100));
         }
-        CPPUNIT_ASSERT_EQUAL(CrashRecords::MostContents, records.size());
+        CPPUNIT_ASSERT_EQUAL(CrashRecords::MaxContents, records.size());
         CPPUNIT_ASSERT_EQUAL(3U, records.crashes(Content));
         CPPUNIT_ASSERT_EQUAL(1U, records.crashes(ContentId("other 4999")));
     }
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/dispatchplay.h"
+#include "dispatch/dispatcherharness.h"
 
 #include <memory>
 
@@ -32,15 +32,15 @@
     /** Starts a node, which reads the stored notes. */
     void addNode()
     {
-        m_nodes.push_back(std::make_unique<DispatchPlay>());
-        DispatchPlay &node = *m_nodes.back();
+        m_nodes.push_back(std::make_unique<DispatcherHarness>());
+        DispatcherHarness &node = *m_nodes.back();
         node.useRoutes();
         for (const char *name : {"d1", "d2", "d3", "d4"}) {
             node.addServer(name, EnginePhase::Decode);
         }
         node.addServer("p1", EnginePhase::Prefill);
         for (const Note &note : m_notes) {
-            tell(node, note);
+            deliver(node, note);
         }
     }
 
@@ -48,109 +48,109 @@
     std::string request(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         const auto number = arrive(milliseconds, content, node);
-        DispatchPlay &play = *m_nodes.at(node);
-        while (play.hasCalls()) {
-            serve(++milliseconds, play, play.nextCall(), content == Crashing);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        while (harness.hasCalls()) {
+            serve(++milliseconds, harness, harness.nextCall(), content == Crashing);
         }
-        collect(milliseconds, play);
-        return play.outcome(number);
+        collectNotes(milliseconds, harness);
+        return harness.outcome(number);
     }
 
     /** Runs a request up to its decode call, which stays open. */
     StartCall beginDecode(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         arrive(milliseconds, content, node);
-        DispatchPlay &play = *m_nodes.at(node);
-        play.grant(milliseconds, play.nextCall(CallKind::Reserve));
-        play.grant(milliseconds, play.nextCall(CallKind::Prefill));
-        return play.nextCall(CallKind::Decode);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        harness.grant(milliseconds, harness.nextCall(CallKind::Reserve));
+        harness.grant(milliseconds, harness.nextCall(CallKind::Prefill));
+        return harness.nextCall(CallKind::Decode);
     }
 
     /** Crashes the server of @p call. */
     void crash(int milliseconds, const StartCall &call, std::size_t node = 0)
     {
-        DispatchPlay &play = *m_nodes.at(node);
-        play.lose(milliseconds, call);
-        while (play.hasCalls()) {
-            serve(milliseconds, play, play.nextCall(), false);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        harness.loseConnection(milliseconds, call);
+        while (harness.hasCalls()) {
+            serve(milliseconds, harness, harness.nextCall(), false);
         }
-        collect(milliseconds, play);
+        collectNotes(milliseconds, harness);
     }
 
     int crashes() const { return m_crashes; }
-    DispatchPlay &node(std::size_t index) { return *m_nodes.at(index); }
+    DispatcherHarness &node(std::size_t index) { return *m_nodes.at(index); }
 
 private:
     struct Note
     {
         ShareCrash crash;
         std::uint64_t revision = 0;
-        int knownFrom = 0; ///< At the other nodes.
-        bool isSpread = false;
+        int visibleAt = 0; ///< At the other nodes.
+        bool isDelivered = false;
     };
 
     RequestNumber arrive(int milliseconds, const std::string &content, std::size_t node)
     {
-        spread(milliseconds);
+        deliverDueNotes(milliseconds);
         return m_nodes.at(node)->arrive(milliseconds, "stream", Prompt, {}, content);
     }
 
-    void collect(int milliseconds, DispatchPlay &play)
+    void collectNotes(int milliseconds, DispatcherHarness &harness)
     {
         /** Time from a write to the store until all replicas have it. */
-        constexpr int UntilKnown = 300;
-        for (const ShareCrash &crash : play.takeShared()) {
-            m_notes.push_back({crash, ++m_revision, milliseconds + UntilKnown});
+        constexpr int ReplicationDelay = 300;
+        for (const ShareCrash &crash : harness.takeCrashNotes()) {
+            m_notes.push_back({crash, ++m_revision, milliseconds + ReplicationDelay});
         }
     }
 
-    void spread(int milliseconds)
+    void deliverDueNotes(int milliseconds)
     {
         for (Note &note : m_notes) {
-            if (note.isSpread || milliseconds < note.knownFrom) {
+            if (note.isDelivered || milliseconds < note.visibleAt) {
                 continue;
             }
-            note.isSpread = true;
+            note.isDelivered = true;
             for (const auto &node : m_nodes) {
-                tell(*node, note);
+                deliver(*node, note);
             }
         }
     }
 
-    static void tell(DispatchPlay &node, const Note &note)
+    static void deliver(DispatcherHarness &node, const Note &note)
     {
         node.dispatcher().crashRecorded(note.crash.note, note.revision,
-                                        DispatchPlay::at(note.knownFrom));
+                                        DispatcherHarness::at(note.visibleAt));
     }
 
-    void serve(int milliseconds, DispatchPlay &play, const StartCall &call, bool isCrashing)
+    void serve(int milliseconds, DispatcherHarness &harness, const StartCall &call, bool isCrashing)
     {
         switch (call.kind) {
         case CallKind::Reserve:
         case CallKind::Prefill:
-            play.grant(milliseconds, call);
+            harness.grant(milliseconds, call);
             return;
         case CallKind::Decode:
         case CallKind::Whole:
             if (isCrashing) {
                 ++m_crashes;
-                play.lose(milliseconds, call);
+                harness.loseConnection(milliseconds, call);
                 return;
             }
-            play.reduce(milliseconds, StreamBegan {call.call, 200, {}});
-            play.end(milliseconds, call, CallEnd::Complete, 200);
+            harness.reduce(milliseconds, StreamBegan {call.call, 200, {}});
+            harness.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         case CallKind::Probe:
             // The server restarts long before the next request.
-            play.end(milliseconds, call, CallEnd::NotConnected);
+            harness.end(milliseconds, call, CallEnd::NotConnected);
             return;
         default:
-            play.end(milliseconds, call, CallEnd::Complete, 200);
+            harness.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         }
     }
 
-    std::vector<std::unique_ptr<DispatchPlay>> m_nodes;
+    std::vector<std::unique_ptr<DispatcherHarness>> m_nodes;
     std::vector<Note> m_notes;
     std::uint64_t m_revision = 0;
     int m_crashes = 0;
@@ -161,20 +161,20 @@
 class CrashReplayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashReplayTest);
-    CPPUNIT_TEST(noFourthServerEndsUnderOneRequest);
-    CPPUNIT_TEST(allNodesTogetherLoseThreeServers);
-    CPPUNIT_TEST(attemptsTooCloseToBeKnownAreFew);
-    CPPUNIT_TEST(aNodeThatStartsLaterRefusesItToo);
-    CPPUNIT_TEST(whatWaitsWhenTheVerdictComesIsNotSent);
-    CPPUNIT_TEST(aFailureOfManyServersIsOneCrashForAll);
-    CPPUNIT_TEST(anAnswerEndsTheRow);
-    CPPUNIT_TEST(aRefusalEndsByItself);
+    CPPUNIT_TEST(contentIsRefusedAfterThreeCrashes);
+    CPPUNIT_TEST(crashesAreCountedAcrossNodes);
+    CPPUNIT_TEST(burstsCauseABoundedNumberOfCrashes);
+    CPPUNIT_TEST(startingNodeRefusesCrashingContent);
+    CPPUNIT_TEST(openRequestIsRejectedAtTheCrashLimit);
+    CPPUNIT_TEST(simultaneousCrashesCountOnce);
+    CPPUNIT_TEST(answerResetsTheCrashCount);
+    CPPUNIT_TEST(refusalExpires);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A caller repeats a request that crashes each engine, under new ids. The content must be
     // refused after three crashes, while other requests are served.
-    void noFourthServerEndsUnderOneRequest()
+    void contentIsRefusedAfterThreeCrashes()
     {
         CrashReplay replay;
         constexpr int Attempts = 12;
@@ -189,7 +189,7 @@
     }
 
     // As above, with the attempts at seven nodes in turn; no node observes three crashes itself.
-    void allNodesTogetherLoseThreeServers()
+    void crashesAreCountedAcrossNodes()
     {
         constexpr std::size_t Nodes = 7;
         CrashReplay replay(Nodes);
@@ -207,7 +207,7 @@
 
     // Guards against an unbounded number of crashes in a burst of the same request, which arrives
     // at other nodes before they know of the previous crash.
-    void attemptsTooCloseToBeKnownAreFew()
+    void burstsCauseABoundedNumberOfCrashes()
     {
         constexpr std::size_t Nodes = 7;
         CrashReplay replay(Nodes);
@@ -224,7 +224,7 @@
         CPPUNIT_ASSERT(replay.crashes() <= 9);
     }
 
-    void aNodeThatStartsLaterRefusesItToo()
+    void startingNodeRefusesCrashingContent()
     {
         CrashReplay replay(2);
         for (int i = 0; i < 4; ++i) {
@@ -237,16 +237,16 @@
 
     // A content reaches the crash limit while another request for it is in prefill. That request
     // must be rejected as not executed.
-    void whatWaitsWhenTheVerdictComesIsNotSent()
+    void openRequestIsRejectedAtTheCrashLimit()
     {
         CrashReplay replay;
         replay.request(0, Crashing);
         replay.request(1'000, Crashing);
-        DispatchPlay &node = replay.node(0);
+        DispatcherHarness &node = replay.node(0);
         const auto waiting = node.arrive(2'000, "stream", Prompt, {}, Crashing);
         node.grant(2'001, node.nextCall(CallKind::Reserve));
         const StartCall prefill = node.nextCall(CallKind::Prefill);
-        node.dispatcher().crashRecorded({ContentId(Crashing), 3}, 90, DispatchPlay::at(2'010));
+        node.dispatcher().crashRecorded({ContentId(Crashing), 3}, 90, DispatcherHarness::at(2'010));
         node.grant(2'100, prefill);
         CPPUNIT_ASSERT_EQUAL(text("rejected"), node.outcome(waiting));
         while (node.hasCalls()) {
@@ -258,7 +258,7 @@
 
     // Three servers with the same content lose power at once. The content must not be refused, as
     // all runs started before any crash was known.
-    void aFailureOfManyServersIsOneCrashForAll()
+    void simultaneousCrashesCountOnce()
     {
         CrashReplay replay(3);
         std::vector<StartCall> runs;
@@ -275,7 +275,7 @@
 
     // A content shares servers with crashing requests, but is answered in between. It must never be
     // refused.
-    void anAnswerEndsTheRow()
+    void answerResetsTheCrashCount()
     {
         CrashReplay replay(2);
         for (int round = 0; round < 6; ++round) {
@@ -288,13 +288,13 @@
     }
 
     // A refusal must expire.
-    void aRefusalEndsByItself()
+    void refusalExpires()
     {
         CrashReplay replay;
         for (int i = 0; i < 4; ++i) {
             replay.request(i * 4'000, Crashing);
         }
-        DispatchPlay &node = replay.node(0);
+        DispatcherHarness &node = replay.node(0);
         constexpr int Later = 11 * 60'000;
         node.reduce(Later, TimePassed {});
         const auto number = node.arrive(Later, "stream", Prompt, {}, Crashing);
--- a/tests/dispatch/generationflowtest.cpp
+++ b/tests/dispatch/generationflowtest.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/dispatchplay.h"
+#include "dispatch/dispatcherharness.h"
 
 using namespace indigoway;
 using namespace indigoway::dispatch;
@@ -13,21 +13,21 @@
 }
 
 /** Adds two decode and two prefill engines. */
-void useEngines(DispatchPlay &play)
+void useEngines(DispatcherHarness &harness)
 {
-    play.useRoutes();
-    play.addServer("d1", EnginePhase::Decode);
-    play.addServer("d2", EnginePhase::Decode);
-    play.addServer("p1", EnginePhase::Prefill);
-    play.addServer("p2", EnginePhase::Prefill);
+    harness.useRoutes();
+    harness.addServer("d1", EnginePhase::Decode);
+    harness.addServer("d2", EnginePhase::Decode);
+    harness.addServer("p1", EnginePhase::Prefill);
+    harness.addServer("p2", EnginePhase::Prefill);
 }
 
 /** Runs a request up to its decode call, which is returned. */
-StartCall playToDecode(DispatchPlay &play, int milliseconds)
+StartCall runToDecode(DispatcherHarness &harness, int milliseconds)
 {
-    play.grant(milliseconds, play.nextCall(CallKind::Reserve));
-    play.grant(milliseconds + 100, play.nextCall(CallKind::Prefill));
-    return play.nextCall(CallKind::Decode);
+    harness.grant(milliseconds, harness.nextCall(CallKind::Reserve));
+    harness.grant(milliseconds + 100, harness.nextCall(CallKind::Prefill));
+    return harness.nextCall(CallKind::Decode);
 }
 
 } // namespace
@@ -36,273 +36,273 @@
 {
     CPPUNIT_TEST_SUITE(GenerationFlowTest);
     CPPUNIT_TEST(reservesThenPrefillsThenDecodes);
-    CPPUNIT_TEST(readsNoPromptWithoutRoom);
-    CPPUNIT_TEST(whatFindsNoRoomIsRejected);
-    CPPUNIT_TEST(requestsInTimeGoBeforeLateOnes);
-    CPPUNIT_TEST(aFailedPrefillGoesElsewhere);
-    CPPUNIT_TEST(aLapsedHandleIsReadByTheDecodeEngine);
+    CPPUNIT_TEST(startsNoPrefillWithoutReservation);
+    CPPUNIT_TEST(rejectsRequestsWithoutReservation);
+    CPPUNIT_TEST(requestsInTimePrecedeLateOnes);
+    CPPUNIT_TEST(failedPrefillIsRetriedElsewhere);
+    CPPUNIT_TEST(lostHandleMovesPrefillToTheDecodeEngine);
     CPPUNIT_TEST(allCallsBeyondTheFirstAreRetries);
-    CPPUNIT_TEST(aStreamThatMayNotRunAgainIsCut);
-    CPPUNIT_TEST(aResumableStreamGoesOnElsewhere);
-    CPPUNIT_TEST(aFailureInPlaceOfTheRestIsNoEnd);
-    CPPUNIT_TEST(nothingIsKeptForACallerWhoLeft);
-    CPPUNIT_TEST(aReservationGrantedTooLateIsGivenBack);
-    CPPUNIT_TEST(readsWholeWithoutPrefillEngines);
-    CPPUNIT_TEST(doesNotUseALeavingEngine);
+    CPPUNIT_TEST(nonResumableStreamIsAborted);
+    CPPUNIT_TEST(resumableStreamContinuesElsewhere);
+    CPPUNIT_TEST(errorResponseDoesNotCompleteAStream);
+    CPPUNIT_TEST(disconnectReleasesAllResources);
+    CPPUNIT_TEST(lateReservationIsReleased);
+    CPPUNIT_TEST(prefillsOnDecodeEngineWithoutPrefillEngines);
+    CPPUNIT_TEST(doesNotUseADrainingEngine);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void reservesThenPrefillsThenDecodes()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
-        const StartCall reserve = play.nextCall(CallKind::Reserve);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
+        const StartCall reserve = harness.nextCall(CallKind::Reserve);
         CPPUNIT_ASSERT(reserve.reserveTokens >= Prompt + 500);
-        play.grant(2, reserve);
-        const StartCall prefill = play.nextCall(CallKind::Prefill);
-        play.grant(100, prefill);
-        const StartCall decode = play.nextCall(CallKind::Decode);
+        harness.grant(2, reserve);
+        const StartCall prefill = harness.nextCall(CallKind::Prefill);
+        harness.grant(100, prefill);
+        const StartCall decode = harness.nextCall(CallKind::Decode);
         CPPUNIT_ASSERT(decode.server == reserve.server);
         CPPUNIT_ASSERT(!decode.reservation.empty());
         CPPUNIT_ASSERT(!decode.handle.empty());
         CPPUNIT_ASSERT_EQUAL(prefill.address, decode.handleAddress);
-        play.reduce(200, StreamBegan {decode.call, 200, {}});
-        play.end(3'000, decode, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT_EQUAL(text("streamed"), play.outcome(request));
-        CPPUNIT_ASSERT(!play.hasCalls());
+        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.end(3'000, decode, CallEnd::Complete, 200);
+        CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
+        CPPUNIT_ASSERT(!harness.hasCalls());
     }
 
     // While decode engines are full, prefills must not start: their KV caches would expire unused.
-    void readsNoPromptWithoutRoom()
+    void startsNoPrefillWithoutReservation()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
         for (int time = 0; time < 500; time += 10) {
-            while (play.hasCalls()) {
-                play.end(time, play.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
+            while (harness.hasCalls()) {
+                harness.end(time, harness.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
             }
-            play.reduce(time, TimePassed {});
+            harness.reduce(time, TimePassed {});
         }
-        CPPUNIT_ASSERT_EQUAL(text("open"), play.outcome(request));
-        play.wait(500, 600);
-        play.grant(600, play.nextCall(CallKind::Reserve));
+        CPPUNIT_ASSERT_EQUAL(text("open"), harness.outcome(request));
+        harness.advance(500, 600);
+        harness.grant(600, harness.nextCall(CallKind::Reserve));
     }
 
-    void whatFindsNoRoomIsRejected()
+    void rejectsRequestsWithoutReservation()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
         int asked = 0;
         for (int time = 0; time < 3'000; time += 10) {
-            while (play.hasCalls()) {
+            while (harness.hasCalls()) {
                 ++asked;
-                play.end(time, play.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
+                harness.end(time, harness.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
             }
-            play.reduce(time, TimePassed {});
+            harness.reduce(time, TimePassed {});
         }
-        CPPUNIT_ASSERT_EQUAL(text("rejected"), play.outcome(request));
+        CPPUNIT_ASSERT_EQUAL(text("rejected"), harness.outcome(request));
         CPPUNIT_ASSERT(asked < 120);
     }
 
     // Under overload, requests that can still meet their target go before late ones.
-    void requestsInTimeGoBeforeLateOnes()
+    void requestsInTimePrecedeLateOnes()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto late = play.arrive(0, "stream", Prompt);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto late = harness.arrive(0, "stream", Prompt);
         for (int time = 0; time < 680; time += 10) {
-            while (play.hasCalls()) {
-                play.end(time, play.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
+            while (harness.hasCalls()) {
+                harness.end(time, harness.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
             }
-            play.reduce(time, TimePassed {});
+            harness.reduce(time, TimePassed {});
         }
-        const auto inTime = play.arrive(685, "stream", Prompt);
-        play.wait(760, 760);
-        CPPUNIT_ASSERT(play.hasCalls());
-        CPPUNIT_ASSERT(play.nextCall(CallKind::Reserve).request == inTime);
-        CPPUNIT_ASSERT_EQUAL(text("open"), play.outcome(late));
+        const auto inTime = harness.arrive(685, "stream", Prompt);
+        harness.advance(760, 760);
+        CPPUNIT_ASSERT(harness.hasCalls());
+        CPPUNIT_ASSERT(harness.nextCall(CallKind::Reserve).request == inTime);
+        CPPUNIT_ASSERT_EQUAL(text("open"), harness.outcome(late));
     }
 
-    void aFailedPrefillGoesElsewhere()
+    void failedPrefillIsRetriedElsewhere()
     {
-        DispatchPlay play;
-        useEngines(play);
-        play.arrive(0, "stream", Prompt);
-        play.grant(2, play.nextCall(CallKind::Reserve));
-        const StartCall first = play.nextCall(CallKind::Prefill);
-        play.end(1'200, first, CallEnd::Broken);
-        const StartCall second = play.nextCall(CallKind::Prefill);
+        DispatcherHarness harness;
+        useEngines(harness);
+        harness.arrive(0, "stream", Prompt);
+        harness.grant(2, harness.nextCall(CallKind::Reserve));
+        const StartCall first = harness.nextCall(CallKind::Prefill);
+        harness.end(1'200, first, CallEnd::Broken);
+        const StartCall second = harness.nextCall(CallKind::Prefill);
         CPPUNIT_ASSERT(first.server != second.server);
-        play.end(1'300, second, CallEnd::Broken);
-        play.nextCall(CallKind::Whole);
+        harness.end(1'300, second, CallEnd::Broken);
+        harness.nextCall(CallKind::Whole);
     }
 
     // The KV cache is lost between prefill and decode. The decode engine must process the prompt
     // itself, and other requests must use other prefill engines.
-    void aLapsedHandleIsReadByTheDecodeEngine()
+    void lostHandleMovesPrefillToTheDecodeEngine()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
-        play.grant(2, play.nextCall(CallKind::Reserve));
-        const StartCall prefill = play.nextCall(CallKind::Prefill);
-        play.grant(102, prefill);
-        play.end(110, play.nextCall(CallKind::Decode), CallEnd::NotExecuted, 503);
-        play.grant(112, play.nextCall(CallKind::Reserve));
-        const StartCall whole = play.nextCall(CallKind::Whole);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
+        harness.grant(2, harness.nextCall(CallKind::Reserve));
+        const StartCall prefill = harness.nextCall(CallKind::Prefill);
+        harness.grant(102, prefill);
+        harness.end(110, harness.nextCall(CallKind::Decode), CallEnd::NotExecuted, 503);
+        harness.grant(112, harness.nextCall(CallKind::Reserve));
+        const StartCall whole = harness.nextCall(CallKind::Whole);
         CPPUNIT_ASSERT(!whole.reservation.empty());
-        play.reduce(400, StreamBegan {whole.call, 200, {}});
+        harness.reduce(400, StreamBegan {whole.call, 200, {}});
         for (int time = 410; time < 1'000; time += 100) {
-            play.arrive(time, "stream", Prompt);
-            play.grant(time + 2, play.nextCall(CallKind::Reserve));
-            CPPUNIT_ASSERT(play.nextCall(CallKind::Prefill).server != prefill.server);
+            harness.arrive(time, "stream", Prompt);
+            harness.grant(time + 2, harness.nextCall(CallKind::Reserve));
+            CPPUNIT_ASSERT(harness.nextCall(CallKind::Prefill).server != prefill.server);
         }
-        play.end(1'100, whole, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT_EQUAL(text("streamed"), play.outcome(request));
+        harness.end(1'100, whole, CallEnd::Complete, 200);
+        CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
     }
 
     // All calls beyond a request's first count against the retry budget, except after a successful
     // prefill.
     void allCallsBeyondTheFirstAreRetries()
     {
-        DispatchPlay play;
-        useEngines(play);
+        DispatcherHarness harness;
+        useEngines(harness);
         constexpr int Requests = 100;
         int arrivals = 0;
         for (int i = 0; i < Requests; ++i) {
-            play.arrive(i * 50, "stream", Prompt);
-            while (play.hasCalls()) {
-                const StartCall call = play.nextCall();
+            harness.arrive(i * 50, "stream", Prompt);
+            while (harness.hasCalls()) {
+                const StartCall call = harness.nextCall();
                 if (call.kind == CallKind::Reserve) {
-                    play.grant(i * 50, call);
+                    harness.grant(i * 50, call);
                 } else if (call.kind == CallKind::Prefill || call.kind == CallKind::Decode
                            || call.kind == CallKind::Whole) {
                     ++arrivals;
-                    play.end(i * 50 + 1, call, CallEnd::NotExecuted, 503);
+                    harness.end(i * 50 + 1, call, CallEnd::NotExecuted, 503);
                 }
             }
         }
-        const RetryBounds bounds;
+        const RetryBudgetSettings bounds;
         CPPUNIT_ASSERT(arrivals <= Requests + Requests * bounds.ratio + bounds.slack / 4.0);
     }
 
     // An engine fails during a stream that must not be repeated. The caller must see an aborted
     // connection.
-    void aStreamThatMayNotRunAgainIsCut()
+    void nonResumableStreamIsAborted()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
-        const StartCall decode = playToDecode(play, 2);
-        play.reduce(200, StreamBegan {decode.call, 200, {}});
-        play.end(900, decode, CallEnd::Broken, 200);
-        CPPUNIT_ASSERT(!play.hasCalls());
-        CPPUNIT_ASSERT_EQUAL(text("cut"), play.outcome(request));
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
+        const StartCall decode = runToDecode(harness, 2);
+        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.end(900, decode, CallEnd::Broken, 200);
+        CPPUNIT_ASSERT(!harness.hasCalls());
+        CPPUNIT_ASSERT_EQUAL(text("cut"), harness.outcome(request));
     }
 
     // An engine fails during a resumable stream. The caller must see one stream without a gap.
-    void aResumableStreamGoesOnElsewhere()
+    void resumableStreamContinuesElsewhere()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "resumable", Prompt);
-        const StartCall decode = playToDecode(play, 2);
-        play.reduce(200, StreamBegan {decode.call, 200, {}});
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "resumable", Prompt);
+        const StartCall decode = runToDecode(harness, 2);
+        harness.reduce(200, StreamBegan {decode.call, 200, {}});
         CallEnded broken;
         broken.call = decode.call;
         broken.end = CallEnd::Broken;
         broken.events = 5;
-        play.reduce(900, broken);
-        const StartCall reserve = play.nextCall(CallKind::Reserve);
+        harness.reduce(900, broken);
+        const StartCall reserve = harness.nextCall(CallKind::Reserve);
         CPPUNIT_ASSERT(reserve.server != decode.server);
-        play.grant(902, reserve);
-        const StartCall whole = play.nextCall(CallKind::Whole);
+        harness.grant(902, reserve);
+        const StartCall whole = harness.nextCall(CallKind::Whole);
         CPPUNIT_ASSERT(whole.goesOn);
-        play.reduce(1'200, StreamBegan {whole.call, 200, {}});
-        play.end(2'000, whole, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT_EQUAL(text("streamed"), play.outcome(request));
+        harness.reduce(1'200, StreamBegan {whole.call, 200, {}});
+        harness.end(2'000, whole, CallEnd::Complete, 200);
+        CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
     }
 
     // An engine fails during a stream and the next one answers with an error. The stream must not
     // end as complete.
-    void aFailureInPlaceOfTheRestIsNoEnd()
+    void errorResponseDoesNotCompleteAStream()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "resumable", Prompt);
-        const StartCall decode = playToDecode(play, 2);
-        play.reduce(200, StreamBegan {decode.call, 200, {}});
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "resumable", Prompt);
+        const StartCall decode = runToDecode(harness, 2);
+        harness.reduce(200, StreamBegan {decode.call, 200, {}});
         CallEnded broken;
         broken.call = decode.call;
         broken.end = CallEnd::Broken;
         broken.events = 3;
-        play.reduce(1'000, broken);
-        play.grant(1'005, play.nextCall(CallKind::Reserve));
-        play.end(1'020, play.nextCall(CallKind::Whole), CallEnd::Complete, 500);
-        CPPUNIT_ASSERT_EQUAL(text("cut"), play.outcome(request));
+        harness.reduce(1'000, broken);
+        harness.grant(1'005, harness.nextCall(CallKind::Reserve));
+        harness.end(1'020, harness.nextCall(CallKind::Whole), CallEnd::Complete, 500);
+        CPPUNIT_ASSERT_EQUAL(text("cut"), harness.outcome(request));
     }
 
-    void nothingIsKeptForACallerWhoLeft()
+    void disconnectReleasesAllResources()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto first = play.arrive(0, "stream", Prompt);
-        play.grant(2, play.nextCall(CallKind::Reserve));
-        const StartCall prefill = play.nextCall(CallKind::Prefill);
-        play.reduce(50, CallerLeft {first});
-        CPPUNIT_ASSERT(play.wasAbandoned(prefill));
-        play.nextCall(CallKind::Unreserve);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto first = harness.arrive(0, "stream", Prompt);
+        harness.grant(2, harness.nextCall(CallKind::Reserve));
+        const StartCall prefill = harness.nextCall(CallKind::Prefill);
+        harness.reduce(50, CallerLeft {first});
+        CPPUNIT_ASSERT(harness.wasAbandoned(prefill));
+        harness.nextCall(CallKind::Unreserve);
 
-        const auto second = play.arrive(100, "stream", Prompt);
-        const StartCall decode = playToDecode(play, 102);
-        play.reduce(300, CallerLeft {second});
-        CPPUNIT_ASSERT(play.wasAbandoned(decode));
-        play.nextCall(CallKind::FreeHandle);
-        CPPUNIT_ASSERT(!play.hasCalls());
+        const auto second = harness.arrive(100, "stream", Prompt);
+        const StartCall decode = runToDecode(harness, 102);
+        harness.reduce(300, CallerLeft {second});
+        CPPUNIT_ASSERT(harness.wasAbandoned(decode));
+        harness.nextCall(CallKind::FreeHandle);
+        CPPUNIT_ASSERT(!harness.hasCalls());
     }
 
-    void aReservationGrantedTooLateIsGivenBack()
+    void lateReservationIsReleased()
     {
-        DispatchPlay play;
-        useEngines(play);
-        const auto request = play.arrive(0, "stream", Prompt);
-        const StartCall reserve = play.nextCall(CallKind::Reserve);
-        play.reduce(1, CallerLeft {request});
-        CPPUNIT_ASSERT(!play.wasAbandoned(reserve));
-        play.grant(3, reserve);
-        const StartCall back = play.nextCall(CallKind::Unreserve);
+        DispatcherHarness harness;
+        useEngines(harness);
+        const auto request = harness.arrive(0, "stream", Prompt);
+        const StartCall reserve = harness.nextCall(CallKind::Reserve);
+        harness.reduce(1, CallerLeft {request});
+        CPPUNIT_ASSERT(!harness.wasAbandoned(reserve));
+        harness.grant(3, reserve);
+        const StartCall back = harness.nextCall(CallKind::Unreserve);
         CPPUNIT_ASSERT(back.server == reserve.server);
         CPPUNIT_ASSERT(!back.reservation.empty());
     }
 
-    void readsWholeWithoutPrefillEngines()
+    void prefillsOnDecodeEngineWithoutPrefillEngines()
     {
-        DispatchPlay play;
-        play.useRoutes();
-        play.addServer("d1", EnginePhase::Decode);
-        play.arrive(0, "stream", Prompt);
-        play.grant(2, play.nextCall(CallKind::Reserve));
-        const StartCall whole = play.nextCall(CallKind::Whole);
+        DispatcherHarness harness;
+        harness.useRoutes();
+        harness.addServer("d1", EnginePhase::Decode);
+        harness.arrive(0, "stream", Prompt);
+        harness.grant(2, harness.nextCall(CallKind::Reserve));
+        const StartCall whole = harness.nextCall(CallKind::Whole);
         CPPUNIT_ASSERT(!whole.reservation.empty());
     }
 
     // An engine starts to drain between reservation and decode. It must not get the request.
-    void doesNotUseALeavingEngine()
+    void doesNotUseADrainingEngine()
     {
-        DispatchPlay play;
-        useEngines(play);
-        play.arrive(0, "stream", Prompt);
-        const StartCall reserve = play.nextCall(CallKind::Reserve);
-        play.grant(2, reserve);
-        const StartCall prefill = play.nextCall(CallKind::Prefill);
-        play.addServer(reserve.server.text(), EnginePhase::Decode, true);
-        play.grant(100, prefill);
-        play.nextCall(CallKind::Unreserve);
-        play.nextCall(CallKind::FreeHandle);
-        CPPUNIT_ASSERT(play.nextCall(CallKind::Reserve).server != reserve.server);
+        DispatcherHarness harness;
+        useEngines(harness);
+        harness.arrive(0, "stream", Prompt);
+        const StartCall reserve = harness.nextCall(CallKind::Reserve);
+        harness.grant(2, reserve);
+        const StartCall prefill = harness.nextCall(CallKind::Prefill);
+        harness.addServer(reserve.server.text(), EnginePhase::Decode, true);
+        harness.grant(100, prefill);
+        harness.nextCall(CallKind::Unreserve);
+        harness.nextCall(CallKind::FreeHandle);
+        CPPUNIT_ASSERT(harness.nextCall(CallKind::Reserve).server != reserve.server);
     }
 };
 
--- a/tests/dispatch/generationlimitstest.cpp
+++ b/tests/dispatch/generationlimitstest.cpp
@@ -8,47 +8,47 @@
 class GenerationLimitsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(GenerationLimitsTest);
-    CPPUNIT_TEST(waitsBelongToTheRoutesTarget);
-    CPPUNIT_TEST(callersComeBackWithinTheirPatience);
-    CPPUNIT_TEST(asksForNoMoreThanTheMost);
+    CPPUNIT_TEST(queueTimeFollowsTheRoutesTarget);
+    CPPUNIT_TEST(retryDelayFitsTheCallersTime);
+    CPPUNIT_TEST(reservesAtMostTheOutputLimit);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against one queue time for routes with different targets.
-    void waitsBelongToTheRoutesTarget()
+    void queueTimeFollowsTheRoutesTarget()
     {
         m_route.target = std::chrono::milliseconds(900);
-        CPPUNIT_ASSERT(longestWait(request()) == std::chrono::milliseconds(810));
+        CPPUNIT_ASSERT(maxQueueTime(request()) == std::chrono::milliseconds(810));
         m_route.target = std::chrono::seconds(5);
-        CPPUNIT_ASSERT(longestWait(request()) == std::chrono::milliseconds(4'500));
+        CPPUNIT_ASSERT(maxQueueTime(request()) == std::chrono::milliseconds(4'500));
         OpenRequest goesOn = request();
         goesOn.isForwarding = true;
-        CPPUNIT_ASSERT(longestWait(goesOn) == std::chrono::seconds(2));
+        CPPUNIT_ASSERT(maxQueueTime(goesOn) == std::chrono::seconds(2));
     }
 
     // Guards against a retry delay beyond the time that the caller has left.
-    void callersComeBackWithinTheirPatience()
+    void retryDelayFitsTheCallersTime()
     {
         OpenRequest one = request();
-        CPPUNIT_ASSERT(comeBackAfter(one) == std::chrono::milliseconds(3'500));
+        CPPUNIT_ASSERT(retryDelay(one) == std::chrono::milliseconds(3'500));
         for (const auto patience : {std::chrono::seconds(3), std::chrono::seconds(14)}) {
-            one.facts.patience = patience;
-            CPPUNIT_ASSERT(comeBackAfter(one) * 3 <= patience);
+            one.arrival.patience = patience;
+            CPPUNIT_ASSERT(retryDelay(one) * 3 <= patience);
         }
     }
 
-    void asksForNoMoreThanTheMost()
+    void reservesAtMostTheOutputLimit()
     {
-        ArrivedRequest facts;
-        facts.promptTokens = 1'000;
-        facts.mostOutputTokens = 600;
-        facts.likelyOutputTokens = 500;
-        const auto need = memoryNeedOf(facts);
+        ArrivedRequest arrival;
+        arrival.promptTokens = 1'000;
+        arrival.mostOutputTokens = 600;
+        arrival.likelyOutputTokens = 500;
+        const auto need = memoryNeedOf(arrival);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {500}, need.outputTokens);
-        CPPUNIT_ASSERT_EQUAL(need.contextTokens + 600, tokensUnplanned(facts, need));
-        CPPUNIT_ASSERT(tokensToBegin(need) < need.whole());
-        facts.likelyOutputTokens = 9'000;
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {600}, memoryNeedOf(facts).outputTokens);
+        CPPUNIT_ASSERT_EQUAL(need.contextTokens + 600, unscheduledReservation(arrival, need));
+        CPPUNIT_ASSERT(initialReservation(need) < need.whole());
+        arrival.likelyOutputTokens = 9'000;
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {600}, memoryNeedOf(arrival).outputTokens);
     }
 
 private:
