--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/dispatchplay.h"
+#include "dispatch/dispatcherharness.h"
 
 using namespace indigoway;
 using namespace indigoway::dispatch;
@@ -27,18 +27,18 @@
 class OrganisationsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(OrganisationsTest);
-    CPPUNIT_TEST(eachCallNamesTheOrganisation);
-    CPPUNIT_TEST(withoutAKnownKeyNoServerIsCalled);
-    CPPUNIT_TEST(whoCannotTellSaysSo);
-    CPPUNIT_TEST(aKeyThatGoesWhileItsRequestWaitsIsOfNoUse);
-    CPPUNIT_TEST(whatIsBeingServedIsServedToItsEnd);
-    CPPUNIT_TEST(overItsQuotaNoEngineIsAsked);
-    CPPUNIT_TEST(theKeeperDecidesWhereLittleIsLeft);
-    CPPUNIT_TEST(aKeeperThatFallsSilentHoldsNobodyUp);
-    CPPUNIT_TEST(whatWasNotRunIsGivenBack);
-    CPPUNIT_TEST(whatTheKeeperHasNotCountedIsNotGivenBack);
+    CPPUNIT_TEST(callsCarryTheOrganisation);
+    CPPUNIT_TEST(unknownKeyIsRejected);
+    CPPUNIT_TEST(staleConfigurationAsksForARetry);
+    CPPUNIT_TEST(revokedKeyRejectsQueuedRequest);
+    CPPUNIT_TEST(revokedKeyKeepsRunningRequest);
+    CPPUNIT_TEST(overQuotaIsRejectedBeforeAnyCall);
+    CPPUNIT_TEST(keeperDecidesCloseToTheQuota);
+    CPPUNIT_TEST(silentKeeperDoesNotDelayRequests);
+    CPPUNIT_TEST(unusedQuotaIsReturned);
+    CPPUNIT_TEST(uncountedQuotaIsNotReturned);
     CPPUNIT_TEST(tokensAreCounted);
-    CPPUNIT_TEST(itsPriorityGoesBeforeTheRoutes);
+    CPPUNIT_TEST(organisationPriorityOverridesTheRoutes);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr Duration MostAge = 5s;
@@ -46,198 +46,199 @@
     static NodeLife keeperLife() { return {NodeName("k"), Incarnation(5)}; }
 
     /** Delivers a message of the keeper with the organisations that are close to their quota. */
-    static void hearKeeper(DispatchPlay &play, int milliseconds,
-                           std::vector<OrganisationName> scarce = {})
+    static void receiveKeeperMessage(DispatcherHarness &harness, int milliseconds,
+                                     std::vector<OrganisationName> scarce = {})
     {
-        play.dispatcher().setScheduler(NodeName("k"));
-        play.reduce(milliseconds,
-                    QuotaKeeperAnswered {quotas::StandingTold {std::move(scarce)},
-                                         keeperLife().incarnation});
-        play.takeToldKeeper();
+        harness.dispatcher().setScheduler(NodeName("k"));
+        harness.reduce(milliseconds,
+                       QuotaKeeperAnswered {quotas::StandingTold {std::move(scarce)},
+                                            keeperLife().incarnation});
+        harness.takeKeeperMessages();
     }
 
 public:
-    void eachCallNamesTheOrganisation()
+    void callsCarryTheOrganisation()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
-        play.addServer("w1");
-        play.addServer("p1", EnginePhase::Prefill);
-        play.addServer("d1", EnginePhase::Decode);
-        play.arriveWithKey(0, "plain", "k1", 1s);
-        CPPUNIT_ASSERT_EQUAL(std::string("o1"), play.nextCall(CallKind::Plain).organisation.text());
-        play.arriveWithKey(0, "stream", "k1", 1s, 1000);
-        const StartCall reserve = play.nextCall(CallKind::Reserve);
-        play.grant(10, reserve);
-        const StartCall prefill = play.nextCall(CallKind::Prefill);
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
+        harness.addServer("w1");
+        harness.addServer("p1", EnginePhase::Prefill);
+        harness.addServer("d1", EnginePhase::Decode);
+        harness.arriveWithKey(0, "plain", "k1", 1s);
+        CPPUNIT_ASSERT_EQUAL(std::string("o1"),
+                             harness.nextCall(CallKind::Plain).organisation.text());
+        harness.arriveWithKey(0, "stream", "k1", 1s, 1000);
+        const StartCall reserve = harness.nextCall(CallKind::Reserve);
+        harness.grant(10, reserve);
+        const StartCall prefill = harness.nextCall(CallKind::Prefill);
         CPPUNIT_ASSERT_EQUAL(std::string("o1"), prefill.organisation.text());
-        play.grant(100, prefill);
+        harness.grant(100, prefill);
         CPPUNIT_ASSERT_EQUAL(std::string("o1"),
-                             play.nextCall(CallKind::Decode).organisation.text());
+                             harness.nextCall(CallKind::Decode).organisation.text());
     }
 
-    void withoutAKnownKeyNoServerIsCalled()
+    void unknownKeyIsRejected()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
-        play.addServer("w1");
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
+        harness.addServer("w1");
         for (const auto &key : {std::optional<std::string>("k2"), std::optional<std::string>()}) {
-            const RequestNumber request = play.arriveWithKey(0, "plain", key, 1s);
-            CPPUNIT_ASSERT_EQUAL(std::string("failed 401"), play.outcome(request));
+            const RequestNumber request = harness.arriveWithKey(0, "plain", key, 1s);
+            CPPUNIT_ASSERT_EQUAL(std::string("failed 401"), harness.outcome(request));
         }
-        CPPUNIT_ASSERT(!play.hasCalls());
-        for (const std::string &detail : play.recorded("request_unserved")) {
+        CPPUNIT_ASSERT(!harness.hasCalls());
+        for (const std::string &detail : harness.logLines("request_unserved")) {
             CPPUNIT_ASSERT(detail.find("k2") == std::string::npos);
         }
     }
 
     // The configuration is too old to check keys. The caller must be asked to retry, as neither 401
     // nor 404 would be certain.
-    void whoCannotTellSaysSo()
+    void staleConfigurationAsksForARetry()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
-        play.addServer("w1");
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
+        harness.addServer("w1");
         for (const char *host : {"plain", "nowhere"}) {
-            const RequestNumber request = play.arriveWithKey(0, host, "k1", 5001ms);
-            CPPUNIT_ASSERT_EQUAL(503, play.status(request));
-            CPPUNIT_ASSERT_EQUAL(std::string("rejected"), play.outcome(request));
+            const RequestNumber request = harness.arriveWithKey(0, host, "k1", 5001ms);
+            CPPUNIT_ASSERT_EQUAL(503, harness.status(request));
+            CPPUNIT_ASSERT_EQUAL(std::string("rejected"), harness.outcome(request));
         }
-        CPPUNIT_ASSERT(!play.hasCalls());
+        CPPUNIT_ASSERT(!harness.hasCalls());
     }
 
     // A key is revoked while its request is queued. Only this request must be rejected, at once.
-    void aKeyThatGoesWhileItsRequestWaitsIsOfNoUse()
+    void revokedKeyRejectsQueuedRequest()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce,
-                       {organisation("o1", "k1"), organisation("o2", "k2")});
-        const RequestNumber first = play.arriveWithKey(0, "stream", "k1", 1s, 1000);
-        const RequestNumber second = play.arriveWithKey(0, "stream", "k2", 1s, 1000);
-        play.useRoutes(Repetition::AtMostOnce,
-                       {organisation("o1", "k9"), organisation("o2", "k2")});
-        play.reduce(50, TimePassed {});
-        CPPUNIT_ASSERT_EQUAL(std::string("failed 401"), play.outcome(first));
-        CPPUNIT_ASSERT_EQUAL(std::string("open"), play.outcome(second));
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce,
+                          {organisation("o1", "k1"), organisation("o2", "k2")});
+        const RequestNumber first = harness.arriveWithKey(0, "stream", "k1", 1s, 1000);
+        const RequestNumber second = harness.arriveWithKey(0, "stream", "k2", 1s, 1000);
+        harness.useRoutes(Repetition::AtMostOnce,
+                          {organisation("o1", "k9"), organisation("o2", "k2")});
+        harness.reduce(50, TimePassed {});
+        CPPUNIT_ASSERT_EQUAL(std::string("failed 401"), harness.outcome(first));
+        CPPUNIT_ASSERT_EQUAL(std::string("open"), harness.outcome(second));
     }
 
-    void whatIsBeingServedIsServedToItsEnd()
+    void revokedKeyKeepsRunningRequest()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
-        play.addServer("w1");
-        const RequestNumber request = play.arriveWithKey(0, "plain", "k1", 1s);
-        const StartCall call = play.nextCall();
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k9")});
-        play.reduce(50, TimePassed {});
-        CPPUNIT_ASSERT_EQUAL(std::string("open"), play.outcome(request));
-        play.end(60, call, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT_EQUAL(std::string("delivered"), play.outcome(request));
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1")});
+        harness.addServer("w1");
+        const RequestNumber request = harness.arriveWithKey(0, "plain", "k1", 1s);
+        const StartCall call = harness.nextCall();
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k9")});
+        harness.reduce(50, TimePassed {});
+        CPPUNIT_ASSERT_EQUAL(std::string("open"), harness.outcome(request));
+        harness.end(60, call, CallEnd::Complete, 200);
+        CPPUNIT_ASSERT_EQUAL(std::string("delivered"), harness.outcome(request));
     }
 
     // Excess requests of an organisation must be rejected before any engine is called, without an
     // effect on other organisations.
-    void overItsQuotaNoEngineIsAsked()
+    void overQuotaIsRejectedBeforeAnyCall()
     {
-        DispatchPlay play(MostAge, {8s, 0, 0});
-        play.useRoutes(Repetition::AtMostOnce,
-                       {organisation("o1", "k1", smallQuota()), organisation("o2", "k2")});
-        play.addServer("d1", EnginePhase::Decode);
+        DispatcherHarness harness(MostAge, {8s, 0, 0});
+        harness.useRoutes(Repetition::AtMostOnce,
+                          {organisation("o1", "k1", smallQuota()), organisation("o2", "k2")});
+        harness.addServer("d1", EnginePhase::Decode);
         // Without a keeper the node has a quarter of the quota and starts with no tokens.
-        const RequestNumber over = play.arriveWithKey(0, "stream", "k1", 1s, 1000);
-        CPPUNIT_ASSERT_EQUAL(429, play.status(over));
-        CPPUNIT_ASSERT_EQUAL(std::string("rejected"), play.outcome(over));
-        CPPUNIT_ASSERT(!play.hasCalls());
-        play.arriveWithKey(0, "stream", "k2", 1s, 1000);
-        play.nextCall(CallKind::Reserve);
-        play.arriveWithKey(3000, "stream", "k1", 1s, 1000);
-        CPPUNIT_ASSERT(play.hasCalls());
+        const RequestNumber over = harness.arriveWithKey(0, "stream", "k1", 1s, 1000);
+        CPPUNIT_ASSERT_EQUAL(429, harness.status(over));
+        CPPUNIT_ASSERT_EQUAL(std::string("rejected"), harness.outcome(over));
+        CPPUNIT_ASSERT(!harness.hasCalls());
+        harness.arriveWithKey(0, "stream", "k2", 1s, 1000);
+        harness.nextCall(CallKind::Reserve);
+        harness.arriveWithKey(3000, "stream", "k1", 1s, 1000);
+        CPPUNIT_ASSERT(harness.hasCalls());
     }
 
-    void theKeeperDecidesWhereLittleIsLeft()
+    void keeperDecidesCloseToTheQuota()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
-        play.addServer("w1");
-        hearKeeper(play, 0, {OrganisationName("o1")});
-        const RequestNumber granted = play.arriveWithKey(10, "plain", "k1", 1s);
-        const RequestNumber refused = play.arriveWithKey(10, "plain", "k1", 1s);
-        CPPUNIT_ASSERT(!play.hasCalls());
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
+        harness.addServer("w1");
+        receiveKeeperMessage(harness, 0, {OrganisationName("o1")});
+        const RequestNumber granted = harness.arriveWithKey(10, "plain", "k1", 1s);
+        const RequestNumber refused = harness.arriveWithKey(10, "plain", "k1", 1s);
+        CPPUNIT_ASSERT(!harness.hasCalls());
         std::vector<quotas::QuotaAskId> asks;
-        for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
+        for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
             asks.push_back(std::get<quotas::QuotaAsked>(message).ask);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, asks.size());
         const Incarnation life = keeperLife().incarnation;
-        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[0], true, 0ms}, life});
-        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[1], false, 2s}, life});
-        play.nextCall(CallKind::Plain);
-        CPPUNIT_ASSERT_EQUAL(std::string("open"), play.outcome(granted));
-        CPPUNIT_ASSERT_EQUAL(429, play.status(refused));
-        CPPUNIT_ASSERT(!play.hasCalls());
+        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[0], true, 0ms}, life});
+        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[1], false, 2s}, life});
+        harness.nextCall(CallKind::Plain);
+        CPPUNIT_ASSERT_EQUAL(std::string("open"), harness.outcome(granted));
+        CPPUNIT_ASSERT_EQUAL(429, harness.status(refused));
+        CPPUNIT_ASSERT(!harness.hasCalls());
     }
 
     // The keeper fails while a request waits for it. The request must be decided by the node's own
     // share.
-    void aKeeperThatFallsSilentHoldsNobodyUp()
+    void silentKeeperDoesNotDelayRequests()
     {
-        DispatchPlay play(MostAge, {8s, 0, 40});
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
-        play.addServer("w1");
-        hearKeeper(play, 0, {OrganisationName("o1")});
-        const RequestNumber asked = play.arriveWithKey(10, "plain", "k1", 1s);
-        play.wait(20, 140);
-        CPPUNIT_ASSERT(play.status(asked) == 429);
+        DispatcherHarness harness(MostAge, {8s, 0, 40});
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
+        harness.addServer("w1");
+        receiveKeeperMessage(harness, 0, {OrganisationName("o1")});
+        const RequestNumber asked = harness.arriveWithKey(10, "plain", "k1", 1s);
+        harness.advance(20, 140);
+        CPPUNIT_ASSERT(harness.status(asked) == 429);
         // Decided by the node's share: a quarter of one request per second.
-        const RequestNumber later = play.arriveWithKey(1100, "plain", "k1", 1s);
-        CPPUNIT_ASSERT(play.outcome(later) != "delivered");
-        hearKeeper(play, 1200);
-        play.wait(1210, 2300);
-        play.arriveWithKey(2310, "plain", "k1", 1s);
-        play.nextCall(CallKind::Plain);
+        const RequestNumber later = harness.arriveWithKey(1100, "plain", "k1", 1s);
+        CPPUNIT_ASSERT(harness.outcome(later) != "delivered");
+        receiveKeeperMessage(harness, 1200);
+        harness.advance(1210, 2300);
+        harness.arriveWithKey(2310, "plain", "k1", 1s);
+        harness.nextCall(CallKind::Plain);
     }
 
-    void whatWasNotRunIsGivenBack()
+    void unusedQuotaIsReturned()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
-        hearKeeper(play, 0);
-        const RequestNumber request = play.arriveWithKey(10, "plain", "k1", 1s);
-        CPPUNIT_ASSERT_EQUAL(503, play.status(request)); // There is no server.
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
+        receiveKeeperMessage(harness, 0);
+        const RequestNumber request = harness.arriveWithKey(10, "plain", "k1", 1s);
+        CPPUNIT_ASSERT_EQUAL(503, harness.status(request)); // There is no server.
         double last = -1;
-        for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
+        for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
             const auto &told = std::get<quotas::UsageTold>(message);
             last = told.used.empty() ? last : told.used.back().units;
         }
         CPPUNIT_ASSERT_EQUAL(0.0, last);
     }
 
-    void itsPriorityGoesBeforeTheRoutes()
+    void organisationPriorityOverridesTheRoutes()
     {
-        DispatchPlay play(MostAge);
+        DispatcherHarness harness(MostAge);
         Organisation urgent = organisation("o1", "k1");
         urgent.priority = 3;
-        play.useRoutes(Repetition::AtMostOnce, {urgent, organisation("o2", "k2")});
-        play.dispatcher().setScheduler(NodeName("k"));
-        play.arriveWithKey(0, "stream", "k1", 1s, 1000);
-        CPPUNIT_ASSERT_EQUAL(3U, play.told<scheduling::Claim>().priority);
-        play.arriveWithKey(0, "stream", "k2", 1s, 1000);
-        CPPUNIT_ASSERT_EQUAL(0U, play.told<scheduling::Claim>().priority);
+        harness.useRoutes(Repetition::AtMostOnce, {urgent, organisation("o2", "k2")});
+        harness.dispatcher().setScheduler(NodeName("k"));
+        harness.arriveWithKey(0, "stream", "k1", 1s, 1000);
+        CPPUNIT_ASSERT_EQUAL(3U, harness.nextSchedulerMessage<scheduling::Claim>().priority);
+        harness.arriveWithKey(0, "stream", "k2", 1s, 1000);
+        CPPUNIT_ASSERT_EQUAL(0U, harness.nextSchedulerMessage<scheduling::Claim>().priority);
     }
 
     // Units that the keeper has not counted must not be returned to it, or the quota would be
     // exceeded.
-    void whatTheKeeperHasNotCountedIsNotGivenBack()
+    void uncountedQuotaIsNotReturned()
     {
-        DispatchPlay play(MostAge, {8s, 0, 100});
-        play.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
-        hearKeeper(play, 0);
-        play.wait(10, 2500); // The keeper no longer answers heartbeats.
-        play.takeToldKeeper();
-        const RequestNumber request = play.arriveWithKey(2510, "plain", "k1", 1s);
+        DispatcherHarness harness(MostAge, {8s, 0, 100});
+        harness.useRoutes(Repetition::AtMostOnce, {organisation("o1", "k1", smallQuota())});
+        receiveKeeperMessage(harness, 0);
+        harness.advance(10, 2500); // The keeper no longer answers heartbeats.
+        harness.takeKeeperMessages();
+        const RequestNumber request = harness.arriveWithKey(2510, "plain", "k1", 1s);
         CPPUNIT_ASSERT_EQUAL(503,
-                             play.status(request)); // Passed the quota, but there is no server.
-        for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
+                             harness.status(request)); // Passed the quota, but there is no server.
+        for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
             for (const auto &used : std::get<quotas::UsageTold>(message).used) {
                 CPPUNIT_ASSERT(used.units >= 0);
             }
@@ -246,17 +247,17 @@
 
     void tokensAreCounted()
     {
-        DispatchPlay play(MostAge);
-        play.useRoutes(Repetition::AtMostOnce,
-                       {organisation("o1", "k1", Quota {5000, 5000, QuotaUnit::Tokens, 200})});
-        play.addServer("w1");
-        play.addServer("d1", EnginePhase::Decode);
-        hearKeeper(play, 0);
-        play.arriveWithKey(10, "stream", "k1", 1s, 1000);
-        const auto stream = std::get<quotas::UsageTold>(play.takeToldKeeper().front());
+        DispatcherHarness harness(MostAge);
+        harness.useRoutes(Repetition::AtMostOnce,
+                          {organisation("o1", "k1", Quota {5000, 5000, QuotaUnit::Tokens, 200})});
+        harness.addServer("w1");
+        harness.addServer("d1", EnginePhase::Decode);
+        receiveKeeperMessage(harness, 0);
+        harness.arriveWithKey(10, "stream", "k1", 1s, 1000);
+        const auto stream = std::get<quotas::UsageTold>(harness.takeKeeperMessages().front());
         CPPUNIT_ASSERT_EQUAL(1500.0, stream.used.front().units);
-        play.arriveWithKey(20, "plain", "k1", 1s);
-        const auto plain = std::get<quotas::UsageTold>(play.takeToldKeeper().front());
+        harness.arriveWithKey(20, "plain", "k1", 1s);
+        const auto plain = std::get<quotas::UsageTold>(harness.takeKeeperMessages().front());
         CPPUNIT_ASSERT_EQUAL(1700.0, plain.used.front().units);
     }
 };
--- a/tests/dispatch/phasebalancetest.cpp
+++ b/tests/dispatch/phasebalancetest.cpp
@@ -29,13 +29,13 @@
 PhaseBalance usualBalance()
 {
     PhaseBalance balance;
-    balance.learn(ServiceName("llm"), Usual);
+    balance.updateWork(ServiceName("llm"), Usual);
     return balance;
 }
 
 std::uint32_t wanted(std::uint32_t all, std::uint64_t memory, scheduling::GenerationWork work)
 {
-    return PhaseBalance::prefillWanted(all, 0, *service(memory).engine, work);
+    return PhaseBalance::preferredPrefillCount(all, 0, *service(memory).engine, work);
 }
 
 void addEngines(ServerDirectory &servers, const std::string &kind, EnginePhase phase, int count)
@@ -55,19 +55,19 @@
 class PhaseBalanceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PhaseBalanceTest);
-    CPPUNIT_TEST(enginesAreSharedByTheWork);
+    CPPUNIT_TEST(enginesAreDividedByTheWork);
     CPPUNIT_TEST(keepsEnginesOfBothPhases);
-    CPPUNIT_TEST(aSmallGainTurnsNoEngine);
+    CPPUNIT_TEST(smallGainChangesNoEngine);
     CPPUNIT_TEST(longerAnswersNeedMoreDecode);
-    CPPUNIT_TEST(turnsNoEngineBeforeThereIsWorkToGoBy);
-    CPPUNIT_TEST(waitsUntilAllHaveAnnouncedThemselves);
-    CPPUNIT_TEST(aCrashIsNotAShift);
+    CPPUNIT_TEST(changesNoEngineWithoutObservedWork);
+    CPPUNIT_TEST(waitsUntilAllEnginesAreRegistered);
+    CPPUNIT_TEST(crashedEnginesCauseNoOrders);
     CPPUNIT_TEST(ordersComeFromAllDomains);
-    CPPUNIT_TEST(aRefusedOrderLeavesTheEngineInUse);
+    CPPUNIT_TEST(refusedOrderKeepsTheEngineInUse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void enginesAreSharedByTheWork()
+    void enginesAreDividedByTheWork()
     {
         CPPUNIT_ASSERT_EQUAL(3U, wanted(9, 65'205, Usual));
         CPPUNIT_ASSERT_EQUAL(5U, wanted(18, 51'867, Usual));
@@ -85,12 +85,14 @@
     }
 
     // Guards against changes on each fluctuation of the estimated work.
-    void aSmallGainTurnsNoEngine()
+    void smallGainChangesNoEngine()
     {
         const EngineTraits traits = *service(38'223).engine;
-        const std::uint32_t best = PhaseBalance::prefillWanted(90, 0, traits, Usual);
-        CPPUNIT_ASSERT_EQUAL(best + 1, PhaseBalance::prefillWanted(90, best + 1, traits, Usual));
-        CPPUNIT_ASSERT_EQUAL(best, PhaseBalance::prefillWanted(90, best + 9, traits, Usual));
+        const std::uint32_t best = PhaseBalance::preferredPrefillCount(90, 0, traits, Usual);
+        CPPUNIT_ASSERT_EQUAL(best + 1,
+                             PhaseBalance::preferredPrefillCount(90, best + 1, traits, Usual));
+        CPPUNIT_ASSERT_EQUAL(best,
+                             PhaseBalance::preferredPrefillCount(90, best + 9, traits, Usual));
     }
 
     void longerAnswersNeedMoreDecode()
@@ -99,9 +101,9 @@
     }
 
     // Without observed work the engines must keep their phases.
-    void turnsNoEngineBeforeThereIsWorkToGoBy()
+    void changesNoEngineWithoutObservedWork()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 2);
         addEngines(servers, "p", EnginePhase::Prefill, 16);
@@ -109,16 +111,16 @@
         for (int time = 0; time < 60'000; time += 250) {
             CPPUNIT_ASSERT(orders.decide(at(time), service(51'867), servers, balance).empty());
         }
-        balance.learn(ServiceName("llm"), Usual);
+        balance.updateWork(ServiceName("llm"), Usual);
         orders.decide(at(60'000), service(51'867), servers, balance);
         CPPUNIT_ASSERT_EQUAL(std::size_t {11},
                              orders.decide(at(62'000), service(51'867), servers, balance).size());
     }
 
     // Guards against orders before all engines have registered.
-    void waitsUntilAllHaveAnnouncedThemselves()
+    void waitsUntilAllEnginesAreRegistered()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         int given = 0;
@@ -136,9 +138,9 @@
     }
 
     // Guards against orders because of prefill engines that restart after a crash.
-    void aCrashIsNotAShift()
+    void crashedEnginesCauseNoOrders()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 12);
@@ -157,7 +159,7 @@
 
     void ordersComeFromAllDomains()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 59);
@@ -175,9 +177,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, counts.size());
     }
 
-    void aRefusedOrderLeavesTheEngineInUse()
+    void refusedOrderKeepsTheEngineInUse()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 12);
@@ -187,7 +189,7 @@
         CPPUNIT_ASSERT(!given.empty());
         const ServerName name = given.front().server->name;
         CPPUNIT_ASSERT(orders.orderedPhase(name) == EnginePhase::Decode);
-        orders.refused(name);
+        orders.cancel(name);
         CPPUNIT_ASSERT(!orders.isChanging(name, at(2'100)));
     }
 };
--- a/tests/routing/routetabletest.cpp
+++ b/tests/routing/routetabletest.cpp
@@ -27,7 +27,7 @@
     return RouteTable(std::move(state));
 }
 
-std::string found(const RouteTable &table, const char *host, const char *path)
+std::string matchedRoute(const RouteTable &table, const char *host, const char *path)
 {
     const Route *one = table.find(host, path);
     return one ? one->name.text() : "none";
@@ -38,35 +38,36 @@
 class RouteTableTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RouteTableTest);
-    CPPUNIT_TEST(theLongestPrefixWins);
+    CPPUNIT_TEST(longestPrefixMatches);
     CPPUNIT_TEST(prefixesEndAtSlashes);
     CPPUNIT_TEST(hostsAreComparedWithoutCaseAndPort);
     CPPUNIT_TEST(sharesFollowTheirWeights);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void theLongestPrefixWins()
+    void longestPrefixMatches()
     {
         const RouteTable one = table();
-        CPPUNIT_ASSERT_EQUAL(std::string("short"), found(one, "a.example", "/one/x"));
-        CPPUNIT_ASSERT_EQUAL(std::string("long"), found(one, "a.example", "/one/two/x/y"));
-        CPPUNIT_ASSERT_EQUAL(std::string("long"), found(one, "a.example", "/one/two/"));
-        CPPUNIT_ASSERT_EQUAL(std::string("all"), found(one, "b.example", "/elsewhere"));
+        CPPUNIT_ASSERT_EQUAL(std::string("short"), matchedRoute(one, "a.example", "/one/x"));
+        CPPUNIT_ASSERT_EQUAL(std::string("long"), matchedRoute(one, "a.example", "/one/two/x/y"));
+        CPPUNIT_ASSERT_EQUAL(std::string("long"), matchedRoute(one, "a.example", "/one/two/"));
+        CPPUNIT_ASSERT_EQUAL(std::string("all"), matchedRoute(one, "b.example", "/elsewhere"));
     }
 
     void prefixesEndAtSlashes()
     {
         const RouteTable one = table();
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), found(one, "a.example", "/one"));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), found(one, "a.example", "/onefold/x"));
-        CPPUNIT_ASSERT_EQUAL(std::string("short"), found(one, "a.example", "/one/twofold"));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), found(one, "c.example", "/one/"));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), found(one, "a.example", ""));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), matchedRoute(one, "a.example", "/one"));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), matchedRoute(one, "a.example", "/onefold/x"));
+        CPPUNIT_ASSERT_EQUAL(std::string("short"), matchedRoute(one, "a.example", "/one/twofold"));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), matchedRoute(one, "c.example", "/one/"));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), matchedRoute(one, "a.example", ""));
     }
 
     void hostsAreComparedWithoutCaseAndPort()
     {
-        CPPUNIT_ASSERT_EQUAL(std::string("short"), found(table(), "A.Example:8080", "/one/"));
+        CPPUNIT_ASSERT_EQUAL(std::string("short"),
+                             matchedRoute(table(), "A.Example:8080", "/one/"));
     }
 
     void sharesFollowTheirWeights()
