--- a/src/dispatch/crashdetector.cpp
+++ b/src/dispatch/crashdetector.cpp
@@ -37,17 +37,17 @@
             recordCrash(step, content, knownCrashes + 1);
         }
     }
-    step.add(RecordDecision {"server_crashed",
-                             {},
-                             "server=" + call.server.name.text() + " address=" + call.server.address
-                                 + " why=" + event.why + crashedContents});
+    step.add(LogDecision {"server_crashed",
+                          {},
+                          "server=" + call.server.name.text() + " address=" + call.server.address
+                              + " why=" + event.why + crashedContents});
 }
 
 void CrashDetector::recordCrash(Step &step, const ContentId &content, std::uint32_t count)
 {
     const std::uint32_t bounded = std::min(count, CrashRecords::MaxCrashes);
     m_state.crashes.recordCrash(content, bounded, CrashRecords::UnconfirmedRevision, step.now);
-    step.add(ShareCrash {{content, bounded}});
+    step.add(PublishCrash {{content, bounded}});
 }
 
 void CrashDetector::recordAnswer(Step &step, const ContentId &content)
@@ -56,7 +56,7 @@
         return;
     }
     m_state.crashes.recordAnswer(content, CrashRecords::UnconfirmedRevision, step.now);
-    step.add(ShareCrash {{content, 0}});
+    step.add(PublishCrash {{content, 0}});
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/dispatcheffects.h
+++ b/src/dispatch/dispatcheffects.h
@@ -104,25 +104,25 @@
 };
 
 /** Sends a datagram to the scheduler node, if it is known. Delivery is not guaranteed. */
-struct TellScheduler
+struct SendToScheduler
 {
     scheduling::ToScheduler message;
 };
 
 /** Sends a datagram to the quota keeper, if it is known. Delivery is not guaranteed. */
-struct TellQuotaKeeper
+struct SendToQuotaKeeper
 {
     quotas::ToKeeper message;
 };
 
 /** Stores a crash note for all nodes, including those that start later. */
-struct ShareCrash
+struct PublishCrash
 {
     CrashNote note;
 };
 
 /** Writes a log line with a decision and its inputs. */
-struct RecordDecision
+struct LogDecision
 {
     std::string kind; ///< Kind of decision; the log rate is limited for each kind.
     std::string callerId;
@@ -149,8 +149,8 @@
 };
 
 using DispatchEffect = std::variant<StartCall, AbandonCall, DeliverAnswer, ForwardStream, EndStream,
-                                    BreakStream, RejectRequest, TellScheduler, TellQuotaKeeper,
-                                    ShareCrash, RecordDecision, RequestEnded>;
+                                    BreakStream, RejectRequest, SendToScheduler, SendToQuotaKeeper,
+                                    PublishCrash, LogDecision, RequestEnded>;
 using DispatchEffects = std::vector<DispatchEffect>;
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -49,7 +49,7 @@
 void sendToKeeper(Step &step, quotas::QuotaGate::Messages messages)
 {
     for (quotas::ToKeeper &message : messages) {
-        step.add(TellQuotaKeeper {std::move(message)});
+        step.add(SendToQuotaKeeper {std::move(message)});
     }
 }
 
@@ -466,9 +466,9 @@
                                std::optional<Duration> retryAfter, const std::string &reason)
 {
     step.add(RejectRequest {event.request, status, retryAfter, reason});
-    step.add(RecordDecision {"request_unserved", event.callerId,
-                             "status=" + std::to_string(status) + " host=" + event.host
-                                 + " path=" + event.path + " " + reason});
+    step.add(LogDecision {"request_unserved", event.callerId,
+                          "status=" + std::to_string(status) + " host=" + event.host
+                              + " path=" + event.path + " " + reason});
 }
 
 RequestFlow &Dispatcher::flowOf(const OpenRequest &request)
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -380,8 +380,8 @@
     } else if (request.countedCalls == 0) {
         request.countedCalls = 1; // Only successful prefills are exempt from the retry budget.
     }
-    step.add(RecordDecision {"prefill_failed", request.arrival.callerId,
-                             "server=" + server.text() + " " + event.why});
+    step.add(LogDecision {"prefill_failed", request.arrival.callerId,
+                          "server=" + server.text() + " " + event.why});
     request.triedServers.insert(server);
     prefill(step, request);
 }
@@ -466,9 +466,9 @@
 {
     --request.executions;
     ClaimEnd result = ClaimEnd::Dropped;
-    step.add(RecordDecision {"decode_not_run", request.arrival.callerId,
-                             "kind=" + std::string(nameOf(call.kind))
-                                 + " server=" + call.server.name.text() + " " + event.why});
+    step.add(LogDecision {"decode_not_run", request.arrival.callerId,
+                          "kind=" + std::string(nameOf(call.kind))
+                              + " server=" + call.server.name.text() + " " + event.why});
     recordFailure(step, call.server.name, event.end);
     if (event.end == CallEnd::NotConnected) {
         --request.countedCalls;
@@ -510,9 +510,9 @@
         && request.executions < request.route->maxAttempts
         && m_state.retryBudget(request.service->name).tryTake(step.now);
     if (mayResume) {
-        step.add(RecordDecision {"resume", request.arrival.callerId,
-                                 "after_events=" + std::to_string(request.forwardedEvents) + " "
-                                     + event.why});
+        step.add(LogDecision {"resume", request.arrival.callerId,
+                              "after_events=" + std::to_string(request.forwardedEvents) + " "
+                                  + event.why});
         request.countedCalls = 0; // The retry has already been charged to the budget.
         enqueue(step, request);
         return;
--- a/src/dispatch/openrequests.cpp
+++ b/src/dispatch/openrequests.cpp
@@ -123,7 +123,7 @@
     if (!detail.empty()) {
         text += " " + detail;
     }
-    step.add(RecordDecision {"request_end", request.arrival.callerId, std::move(text)});
+    step.add(LogDecision {"request_end", request.arrival.callerId, std::move(text)});
 }
 
 void OpenRequests::erase(Step &step, const OpenRequest &request, RequestOutcome outcome)
--- a/src/dispatch/phasecontroller.cpp
+++ b/src/dispatch/phasecontroller.cpp
@@ -48,7 +48,7 @@
     m_workRequestedAt = step.now;
     for (const auto &[name, service] : table.services()) {
         if (service.engine) {
-            step.add(TellScheduler {scheduling::WorkAsked {name}});
+            step.add(SendToScheduler {scheduling::WorkAsked {name}});
         }
     }
 }
@@ -64,7 +64,7 @@
         && step.now <= m_orderTokenAt + TokenValidity;
     if (!mayOrder) {
         cancelOrder(step, call.server.name);
-        step.add(RecordDecision {
+        step.add(LogDecision {
             "order_not_given", {}, "server=" + call.server.name.text() + " " + event.why});
         return;
     }
@@ -76,13 +76,13 @@
     order.ordersTaken = event.report->ordersTaken;
     order.silentFor = OrderTimeout;
     m_state.calls.start(step, call.server, std::move(order));
-    step.add(RecordDecision {"order",
-                             {},
-                             "server=" + call.server.name.text() + " phase="
-                                 + (phase == EnginePhase::Prefill ? "prefill" : "decode")
-                                 + " token=" + std::to_string(m_orderToken)
-                                 + " orders_taken=" + std::to_string(event.report->ordersTaken)
-                                 + workText(call.server.service)});
+    step.add(LogDecision {"order",
+                          {},
+                          "server=" + call.server.name.text()
+                              + " phase=" + (phase == EnginePhase::Prefill ? "prefill" : "decode")
+                              + " token=" + std::to_string(m_orderToken)
+                              + " orders_taken=" + std::to_string(event.report->ordersTaken)
+                              + workText(call.server.service)});
 }
 
 void PhaseController::cancelOrder(Step &step, const ServerName &server)
@@ -93,7 +93,7 @@
 
 void PhaseController::reportChange(Step &step, const ServerName &server, bool isAccepted) const
 {
-    step.add(TellScheduler {
+    step.add(SendToScheduler {
         scheduling::EngineChanging {server, m_orders.orderedPhase(server),
                                     m_orders.remainingChangeTime(server, step.now), isAccepted}});
 }
@@ -121,10 +121,10 @@
         reportChange(step, call.server.name, isTaken);
     }
     // An order without an answer may still be executed, so the engine counts as changing.
-    step.add(RecordDecision {"order_ended",
-                             {},
-                             "server=" + call.server.name.text() + " end=" + nameOf(event.end)
-                                 + " status=" + std::to_string(event.status)});
+    step.add(LogDecision {"order_ended",
+                          {},
+                          "server=" + call.server.name.text() + " end=" + nameOf(event.end)
+                              + " status=" + std::to_string(event.status)});
 }
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/plainflow.cpp
+++ b/src/dispatch/plainflow.cpp
@@ -160,9 +160,9 @@
     }
     if (!isSuccess && mayRetry(request) && pickServer(step, request)
         && m_state.retryBudget(request.service->name).tryTake(step.now)) {
-        step.add(RecordDecision {"retry", request.arrival.callerId,
-                                 "status=" + std::to_string(event.status)
-                                     + " server=" + call.server.name.text()});
+        step.add(LogDecision {"retry", request.arrival.callerId,
+                              "status=" + std::to_string(event.status)
+                                  + " server=" + call.server.name.text()});
         send(step, request);
         return;
     }
@@ -179,7 +179,7 @@
     const bool isRetry = request.countedCalls > 0;
     if (request.triedServers.size() < MaxServersTried && pickServer(step, request)
         && (!isRetry || m_state.retryBudget(request.service->name).tryTake(step.now))) {
-        step.add(RecordDecision {"retry", request.arrival.callerId, "not executed: " + reason});
+        step.add(LogDecision {"retry", request.arrival.callerId, "not executed: " + reason});
         send(step, request);
         return;
     }
@@ -195,7 +195,7 @@
     if (mayRetry(request) && pickServer(step, request)
         && m_state.retryBudget(request.service->name).tryTake(step.now)) {
         step.add(
-            RecordDecision {"retry", request.arrival.callerId, "possibly executed: " + event.why});
+            LogDecision {"retry", request.arrival.callerId, "possibly executed: " + event.why});
         send(step, request);
         return;
     }
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -145,10 +145,10 @@
         }
         if (pending.unanswered >= MaxUnanswered) {
             m_unavailableUntil = step.now + UnavailableTime;
-            step.add(RecordDecision {"scheduler_silent",
-                                     {},
-                                     "scheduler=" + m_scheduler->text()
-                                         + " claims=" + std::to_string(m_pending.size())});
+            step.add(LogDecision {"scheduler_silent",
+                                  {},
+                                  "scheduler=" + m_scheduler->text()
+                                      + " claims=" + std::to_string(m_pending.size())});
             return withdrawAll(step);
         }
         ++pending.unanswered;
@@ -188,7 +188,7 @@
 
 void SchedulerClaims::send(Step &step, ToScheduler message) const
 {
-    step.add(TellScheduler {std::move(message)});
+    step.add(SendToScheduler {std::move(message)});
 }
 
 } // namespace indigoway::dispatch
--- a/src/edge/edgemetrics.h
+++ b/src/edge/edgemetrics.h
@@ -25,7 +25,7 @@
     EdgeMetrics &operator=(const EdgeMetrics &) = delete;
 
     void add(const dispatch::RequestEnded &ended);
-    void add(const dispatch::RecordDecision &decision) { ++m_decisions[decision.kind]; }
+    void add(const dispatch::LogDecision &decision) { ++m_decisions[decision.kind]; }
     /** @p gauges are added with their present values. */
     std::string text(const std::vector<std::pair<std::string, std::uint64_t>> &gauges) const;
 
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -88,12 +88,12 @@
 {
     m_relay.setCopyAge([this] { return m_sync.copyAge(BootClock::now()); });
     m_relay.setEndedHandler([this](const dispatch::RequestEnded &ended) { m_metrics.add(ended); });
-    m_relay.setRecordHandler([this](const dispatch::RecordDecision &decision) {
+    m_relay.setRecordHandler([this](const dispatch::LogDecision &decision) {
         m_metrics.add(decision);
         record(decision.kind, {{"request", decision.callerId}, {"detail", decision.detail}});
     });
     m_relay.setCrashHandler(
-        [this](const dispatch::ShareCrash &crash) { m_sync.records().publish(crash.note); });
+        [this](const dispatch::PublishCrash &crash) { m_sync.records().publish(crash.note); });
     m_relay.setSchedulerHandler(
         [this](const scheduling::ToScheduler &message) { m_scheduling.tell(message); });
     m_relay.setQuotaHandler(
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -287,28 +287,28 @@
     m_exchanges.erase(effect.request);
 }
 
-void RequestRelay::run(const TellScheduler &effect)
+void RequestRelay::run(const SendToScheduler &effect)
 {
     if (m_schedulerHandler) {
         m_schedulerHandler(effect.message);
     }
 }
 
-void RequestRelay::run(const TellQuotaKeeper &effect)
+void RequestRelay::run(const SendToQuotaKeeper &effect)
 {
     if (m_quotaHandler) {
         m_quotaHandler(effect.message);
     }
 }
 
-void RequestRelay::run(const ShareCrash &effect)
+void RequestRelay::run(const PublishCrash &effect)
 {
     if (m_crashHandler) {
         m_crashHandler(effect);
     }
 }
 
-void RequestRelay::run(const RecordDecision &effect)
+void RequestRelay::run(const LogDecision &effect)
 {
     if (m_recordHandler) {
         m_recordHandler(effect);
--- a/src/relay/requestrelay.h
+++ b/src/relay/requestrelay.h
@@ -20,10 +20,10 @@
 class RequestRelay : public ServerCallObserver
 {
 public:
-    using RecordHandler = std::function<void(const dispatch::RecordDecision &)>;
+    using RecordHandler = std::function<void(const dispatch::LogDecision &)>;
     using SchedulerHandler = std::function<void(const scheduling::ToScheduler &)>;
     using QuotaHandler = std::function<void(const quotas::ToKeeper &)>;
-    using CrashHandler = std::function<void(const dispatch::ShareCrash &)>;
+    using CrashHandler = std::function<void(const dispatch::PublishCrash &)>;
     using EndedHandler = std::function<void(const dispatch::RequestEnded &)>;
 
     RequestRelay(event_base *base, dispatch::Dispatcher &dispatcher, const Dialect &dialect,
@@ -84,10 +84,10 @@
     void run(const dispatch::EndStream &effect);
     void run(const dispatch::BreakStream &effect);
     void run(const dispatch::RejectRequest &effect);
-    void run(const dispatch::TellScheduler &effect);
-    void run(const dispatch::TellQuotaKeeper &effect);
-    void run(const dispatch::ShareCrash &effect);
-    void run(const dispatch::RecordDecision &effect);
+    void run(const dispatch::SendToScheduler &effect);
+    void run(const dispatch::SendToQuotaKeeper &effect);
+    void run(const dispatch::PublishCrash &effect);
+    void run(const dispatch::LogDecision &effect);
     void run(const dispatch::RequestEnded &effect);
     void armTimer();
     dispatch::CallEnded outcomeOf(const OpenCall &open, TransferEnd end,
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -83,7 +83,7 @@
 private:
     struct Note
     {
-        ShareCrash crash;
+        PublishCrash crash;
         std::uint64_t revision = 0;
         int visibleAt = 0; ///< At the other nodes.
         bool isDelivered = false;
@@ -99,7 +99,7 @@
     {
         /** Time from a write to the store until all replicas have it. */
         constexpr int ReplicationDelay = 300;
-        for (const ShareCrash &crash : harness.takeCrashNotes()) {
+        for (const PublishCrash &crash : harness.takeCrashNotes()) {
             m_notes.push_back({crash, ++m_revision, milliseconds + ReplicationDelay});
         }
     }
--- a/tests/dispatch/dispatcherharness.h
+++ b/tests/dispatch/dispatcherharness.h
@@ -142,13 +142,13 @@
                 m_calls.push_back(*call);
             } else if (const auto *abandoned = std::get_if<AbandonCall>(&effect)) {
                 m_abandoned.push_back(abandoned->call);
-            } else if (const auto *told = std::get_if<TellScheduler>(&effect)) {
+            } else if (const auto *told = std::get_if<SendToScheduler>(&effect)) {
                 m_schedulerMessages.push_back(told->message);
-            } else if (const auto *asked = std::get_if<TellQuotaKeeper>(&effect)) {
+            } else if (const auto *asked = std::get_if<SendToQuotaKeeper>(&effect)) {
                 m_keeperMessages.push_back(asked->message);
-            } else if (const auto *shared = std::get_if<ShareCrash>(&effect)) {
+            } else if (const auto *shared = std::get_if<PublishCrash>(&effect)) {
                 m_crashNotes.push_back(*shared);
-            } else if (const auto *recorded = std::get_if<RecordDecision>(&effect)) {
+            } else if (const auto *recorded = std::get_if<LogDecision>(&effect)) {
                 m_logLines[recorded->kind].push_back(recorded->detail);
             } else if (const auto *rejected = std::get_if<RejectRequest>(&effect)) {
                 m_outcomes[rejected->request] = rejected->retryAfter
@@ -261,7 +261,7 @@
     const std::vector<std::string> &logLines(const std::string &kind) { return m_logLines[kind]; }
 
     /** Returns the crash notes published since the last call. */
-    std::vector<ShareCrash> takeCrashNotes() { return std::exchange(m_crashNotes, {}); }
+    std::vector<PublishCrash> takeCrashNotes() { return std::exchange(m_crashNotes, {}); }
 
     bool wasAbandoned(const StartCall &call) const
     {
@@ -281,7 +281,7 @@
     std::map<RequestNumber, std::string> m_outcomes;
     std::map<RequestNumber, int> m_statuses;
     std::map<std::string, std::vector<std::string>> m_logLines;
-    std::vector<ShareCrash> m_crashNotes;
+    std::vector<PublishCrash> m_crashNotes;
 };
 
 } // namespace indigoway::dispatch
--- a/tests/edge/edgemetricstest.cpp
+++ b/tests/edge/edgemetricstest.cpp
@@ -23,7 +23,7 @@
         metrics.add(served);
         served.outcome = RequestOutcome::Rejected;
         metrics.add(served);
-        metrics.add(RecordDecision {"retry", "c1", "why"});
+        metrics.add(LogDecision {"retry", "c1", "why"});
         const std::string text = metrics.text({{"requests_open", 7}});
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"served\"} 2\n");
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"rejected\"} 1\n");
