--- a/src/dispatch/dispatcheffects.h
+++ b/src/dispatch/dispatcheffects.h
@@ -41,19 +41,19 @@
     std::string address;
     OrganisationName organisation; ///< The calling organisation; empty if there is none.
     Duration patience {};          ///< Remaining time for the answer, passed on to the server.
-    Duration silentFor {};         ///< Idle timeout, after which the call fails; 0 for none.
+    Duration idleTimeout {};       ///< Idle timeout, after which the call fails; 0 for none.
     /**
      * Set if a reused connection that closes during the write would leave the execution in doubt.
      */
     bool needsNewConnection = false;
     /** Maximum of idle connections from this node to the server. */
-    std::uint32_t connectionsKept = 1;
+    std::uint32_t maxIdleConnections = 1;
     std::uint64_t reserveTokens = 0;
     Duration reserveFor {};
     std::string reservation;   ///< Result of Reserve; input of Decode, Whole and Unreserve.
     std::string handle;        ///< Result of Prefill; input of Decode and FreeHandle.
     std::string handleAddress; ///< Address of the engine that holds the KV cache.
-    bool goesOn = false;       ///< Resumes the stream after the last event forwarded to the caller.
+    bool isResumption = false; ///< Resumes the stream after the last event forwarded to the caller.
     EnginePhase orderedPhase = EnginePhase::None;
     std::uint64_t fencingToken = 0; ///< For Order: increases with each holder of the order right.
     /** For Order: the order is void if the engine has accepted another one since. */
--- a/src/dispatch/dispatchstate.cpp
+++ b/src/dispatch/dispatchstate.cpp
@@ -4,7 +4,7 @@
 
 namespace indigoway::dispatch {
 
-std::uint32_t DispatchState::connectionsKept(const Service &service) const
+std::uint32_t DispatchState::maxIdleConnections(const Service &service) const
 {
     constexpr std::uint32_t MaxIdleConnections = 8;
     /** Leaves three quarters of the limit to active calls. */
@@ -23,7 +23,7 @@
         call.organisation = request.organisation->name;
     }
     call.patience = request.deadline - step.now;
-    call.connectionsKept = connectionsKept(*request.service);
+    call.maxIdleConnections = maxIdleConnections(*request.service);
     request.server = server.name;
     request.callKind = call.kind;
     request.callStarted = step.now;
--- a/src/dispatch/dispatchstate.h
+++ b/src/dispatch/dispatchstate.h
@@ -47,7 +47,7 @@
      * A server resets connections beyond its limit, which all nodes share, possibly after a request
      * was written.
      */
-    std::uint32_t connectionsKept(const Service &service) const;
+    std::uint32_t maxIdleConnections(const Service &service) const;
 
     /** Starts @p call for @p request and makes it the call that the request waits for. */
     void startCall(Step &step, OpenRequest &request, const AnnouncedServer &server, StartCall call);
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -121,7 +121,7 @@
         StartCall unreserve;
         unreserve.kind = CallKind::Unreserve;
         unreserve.reservation = event.reservation;
-        unreserve.silentFor = ReserveTimeout;
+        unreserve.idleTimeout = ReserveTimeout;
         m_state.calls.start(step, call.server, std::move(unreserve));
     }
 }
@@ -280,7 +280,7 @@
     request.stage = Stage::Reserving;
     StartCall call;
     call.kind = CallKind::Reserve;
-    call.silentFor = ReserveTimeout;
+    call.idleTimeout = ReserveTimeout;
     call.reserveTokens =
         request.claim.isNone() ? request.tokenDemand : initialReservation(request.memory);
     call.reserveFor = request.service->engine->longestReservation;
@@ -343,7 +343,7 @@
     m_placement.addLoad(server->name, request.arrival.promptTokens);
     StartCall call;
     call.kind = CallKind::Prefill;
-    call.silentFor = PrefillTimeout;
+    call.idleTimeout = PrefillTimeout;
     // A new connection detects a hanging engine earlier than the idle timeout, and before the
     // request is sent.
     call.needsNewConnection = true;
@@ -410,9 +410,9 @@
         call.handle = request.handle;
         call.handleAddress = source ? source->address : std::string();
     }
-    call.goesOn = request.forwardedEvents > 0;
+    call.isResumption = request.forwardedEvents > 0;
     if (request.route->isResumable) {
-        call.silentFor = StreamIdleTimeout;
+        call.idleTimeout = StreamIdleTimeout;
     }
     call.needsNewConnection = true;
     ++request.executions;
@@ -561,7 +561,7 @@
             StartCall call;
             call.kind = CallKind::Unreserve;
             call.reservation = request.reservation;
-            call.silentFor = ReserveTimeout;
+            call.idleTimeout = ReserveTimeout;
             m_state.calls.start(step, *server, std::move(call));
         }
         request.decodeServer = {};
@@ -573,7 +573,7 @@
         call.kind = CallKind::FreeHandle;
         call.handle = request.handle;
         call.handleAddress = source->address;
-        call.silentFor = ReserveTimeout;
+        call.idleTimeout = ReserveTimeout;
         m_state.calls.start(step, *source, std::move(call));
     }
     request.handle.clear();
--- a/src/dispatch/phasecontroller.cpp
+++ b/src/dispatch/phasecontroller.cpp
@@ -29,7 +29,7 @@
             StartCall call;
             call.kind = CallKind::Report;
             call.orderedPhase = order.phase;
-            call.silentFor = OrderTimeout;
+            call.idleTimeout = OrderTimeout;
             m_state.calls.start(step, *order.server, std::move(call));
             reportChange(step, order.server->name, false);
         }
@@ -74,7 +74,7 @@
     order.orderedPhase = phase;
     order.fencingToken = m_orderToken;
     order.ordersTaken = event.report->ordersTaken;
-    order.silentFor = OrderTimeout;
+    order.idleTimeout = OrderTimeout;
     m_state.calls.start(step, call.server, std::move(order));
     step.add(LogDecision {"order",
                           {},
--- a/src/dispatch/plainflow.cpp
+++ b/src/dispatch/plainflow.cpp
@@ -106,7 +106,7 @@
     ++request.executions;
     ++request.countedCalls;
     if (mayRetry(request)) {
-        call.silentFor = request.route->target * IdleTimeoutInTargets;
+        call.idleTimeout = request.route->target * IdleTimeoutInTargets;
     }
     // A reused connection may close during the write, which leaves the execution in doubt and rules
     // out a retry.
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -212,7 +212,7 @@
         origin = &exchange->second.request;
         open.callerId = exchange->second.callerId;
         exchange->second.events.dropPartial();
-        if (effect.goesOn) {
+        if (effect.isResumption) {
             lastEventId = exchange->second.events.lastId();
         }
     }
@@ -225,9 +225,9 @@
     request.call = effect.call;
     request.server = effect.server;
     request.address = effect.address;
-    request.silentFor = effect.silentFor;
+    request.idleTimeout = effect.idleTimeout;
     request.needsNewConnection = effect.needsNewConnection;
-    request.connectionsKept = effect.connectionsKept;
+    request.maxIdleConnections = effect.maxIdleConnections;
     m_calls.emplace(effect.call, std::move(open));
     m_servers.start(request);
 }
--- a/src/relay/serverconnections.cpp
+++ b/src/relay/serverconnections.cpp
@@ -60,7 +60,7 @@
     event *timer = nullptr;
     MessageParser parser;
     CallNumber call; ///< None while it is kept idle.
-    Duration silentFor {};
+    Duration idleTimeout {};
     std::uint32_t mostKept = 1; ///< Idle ones to its server, this one included.
     /**
      * The request, until the connection is known to be made. Written before that, it would go out
@@ -105,8 +105,8 @@
     Connection *kept = isNew ? nullptr : keptConnection(request);
     Connection &connection = kept ? *kept : connect(request);
     connection.call = request.call;
-    connection.silentFor = request.silentFor;
-    connection.mostKept = request.connectionsKept;
+    connection.idleTimeout = request.idleTimeout;
+    connection.mostKept = request.maxIdleConnections;
     connection.isConnectOnly = request.isConnectOnly;
     m_calls[request.call] = connection.number;
     send(connection, request);
@@ -369,10 +369,10 @@
 
 void ServerConnections::armSilence(Connection &connection)
 {
-    if (connection.silentFor.count() <= 0) {
+    if (connection.idleTimeout.count() <= 0) {
         return;
     }
-    const timeval limit = timevalOf(connection.silentFor);
+    const timeval limit = timevalOf(connection.idleTimeout);
     event_add(connection.timer, &limit);
 }
 
--- a/src/relay/serverconnections.h
+++ b/src/relay/serverconnections.h
@@ -27,10 +27,10 @@
     std::string target;
     HttpHeaders headers; ///< Without those on framing and connections.
     std::string body;
-    Duration silentFor {}; ///< Longest time without a byte from the server; 0: no bound.
+    Duration idleTimeout {}; ///< Longest time without a byte from the server; 0: no bound.
     bool needsNewConnection = false;
-    bool isConnectOnly = false;        ///< Nothing is sent; complete once the connection is made.
-    std::uint32_t connectionsKept = 1; ///< Idle ones to this server, at the most.
+    bool isConnectOnly = false; ///< Nothing is sent; complete once the connection is made.
+    std::uint32_t maxIdleConnections = 1; ///< Idle ones to this server, at the most.
 };
 
 enum class TransferEnd {
--- a/tests/dispatch/generationflowtest.cpp
+++ b/tests/dispatch/generationflowtest.cpp
@@ -220,7 +220,7 @@
         CPPUNIT_ASSERT(reserve.server != decode.server);
         harness.grant(902, reserve);
         const StartCall whole = harness.nextCall(CallKind::Whole);
-        CPPUNIT_ASSERT(whole.goesOn);
+        CPPUNIT_ASSERT(whole.isResumption);
         harness.reduce(1'200, StreamBegan {whole.call, 200, {}});
         harness.end(2'000, whole, CallEnd::Complete, 200);
         CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
--- a/tests/dispatch/generationlimitstest.cpp
+++ b/tests/dispatch/generationlimitstest.cpp
@@ -21,9 +21,9 @@
         CPPUNIT_ASSERT(maxQueueTime(request()) == std::chrono::milliseconds(810));
         m_route.target = std::chrono::seconds(5);
         CPPUNIT_ASSERT(maxQueueTime(request()) == std::chrono::milliseconds(4'500));
-        OpenRequest goesOn = request();
-        goesOn.isForwarding = true;
-        CPPUNIT_ASSERT(maxQueueTime(goesOn) == std::chrono::seconds(2));
+        OpenRequest resumed = request();
+        resumed.isForwarding = true;
+        CPPUNIT_ASSERT(maxQueueTime(resumed) == std::chrono::seconds(2));
     }
 
     // Guards against a retry delay beyond the time that the caller has left.
--- a/tests/dispatch/plainflowtest.cpp
+++ b/tests/dispatch/plainflowtest.cpp
@@ -58,7 +58,7 @@
             state.nodes = nodes;
             Service service;
             service.maxConnections = allowed;
-            return state.connectionsKept(service);
+            return state.maxIdleConnections(service);
         };
         for (const std::uint32_t nodes : {1U, 7U, 61U, 400U}) {
             for (const std::uint32_t allowed : {100U, 430U, 2'000U}) {
@@ -167,10 +167,10 @@
         harness.addServer("b");
         const auto request = harness.arrive(0, "plain");
         const StartCall first = harness.nextCall();
-        CPPUNIT_ASSERT(first.silentFor == std::chrono::milliseconds(300));
+        CPPUNIT_ASSERT(first.idleTimeout == std::chrono::milliseconds(300));
         harness.end(300, first, CallEnd::Broken);
         const StartCall second = harness.nextCall();
-        CPPUNIT_ASSERT(second.silentFor == Duration(0));
+        CPPUNIT_ASSERT(second.idleTimeout == Duration(0));
         harness.end(330, second, CallEnd::Complete, 200);
         CPPUNIT_ASSERT_EQUAL(text("delivered"), harness.outcome(request));
     }
--- a/tests/relay/relaytest.cpp
+++ b/tests/relay/relaytest.cpp
@@ -441,7 +441,7 @@
         CPPUNIT_FAIL("what was waited for did not come");
     }
 
-    void startCall(std::uint64_t number, const std::string &address = {}, Duration silentFor = {})
+    void startCall(std::uint64_t number, const std::string &address = {}, Duration idleTimeout = {})
     {
         ServerRequest request;
         request.call = CallNumber(number);
@@ -449,7 +449,7 @@
         request.address = address.empty() ? m_server.address() : address;
         request.method = "GET";
         request.target = "/";
-        request.silentFor = silentFor;
+        request.idleTimeout = idleTimeout;
         m_servers->start(request);
         run();
     }
--- a/tests/relay/serverconnectionstest.cpp
+++ b/tests/relay/serverconnectionstest.cpp
@@ -110,7 +110,7 @@
         request.target = "/x";
         request.body = "once";
         request.needsNewConnection = true;
-        request.silentFor = std::chrono::milliseconds(200);
+        request.idleTimeout = std::chrono::milliseconds(200);
         connections->start(request);
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
         event_base_dispatch(base.get());
@@ -146,7 +146,7 @@
             request.target = "/x";
             request.headers = {{"Host", address}};
             request.needsNewConnection = true;
-            request.connectionsKept = 2;
+            request.maxIdleConnections = 2;
             connections->start(request);
         }
         while (connections->open() > 0) {
