--- a/src/dispatch/dispatcheffects.h
+++ b/src/dispatch/dispatcheffects.h
@@ -144,8 +144,8 @@
     RequestOutcome outcome = RequestOutcome::Served;
     bool isGeneration = false;
     OrganisationName organisation; ///< Empty if there is none.
-    Duration untilFirst {};        ///< Time from arrival to the first byte of the answer.
-    Duration whole {};
+    Duration timeToFirstAnswer {}; ///< Time from arrival to the first byte of the answer.
+    Duration totalTime {};
 };
 
 using DispatchEffect = std::variant<StartCall, AbandonCall, DeliverAnswer, ForwardStream, EndStream,
--- a/src/dispatch/openrequests.cpp
+++ b/src/dispatch/openrequests.cpp
@@ -134,9 +134,9 @@
     if (request.organisation) {
         ended.organisation = request.organisation->name;
     }
-    ended.whole = step.now - request.arrived;
+    ended.totalTime = step.now - request.arrived;
     if (request.firstAnswerAt != TimePoint {}) {
-        ended.untilFirst = request.firstAnswerAt - request.arrived;
+        ended.timeToFirstAnswer = request.firstAnswerAt - request.arrived;
     }
     step.add(ended);
     if (request.quotaUnits > 0 && !request.mayHaveExecuted() && request.prefillAttempts == 0) {
--- a/src/edge/edgemetrics.cpp
+++ b/src/edge/edgemetrics.cpp
@@ -85,7 +85,7 @@
 
 struct EdgeMetrics::Histograms
 {
-    std::array<Series, 2> untilFirst; ///< By sort: plain, generation.
+    std::array<Series, 2> timeToFirstAnswer; ///< By sort: plain, generation.
     std::array<Series, 2> whole;
 };
 
@@ -106,10 +106,10 @@
                               : std::pair {OrganisationName("(others)"), ended.outcome}];
     }
     const std::size_t sort = ended.isGeneration ? 1 : 0;
-    if (ended.untilFirst.count() > 0) {
-        m_histograms->untilFirst[sort].add(ended.untilFirst);
+    if (ended.timeToFirstAnswer.count() > 0) {
+        m_histograms->timeToFirstAnswer[sort].add(ended.timeToFirstAnswer);
     }
-    m_histograms->whole[sort].add(ended.whole);
+    m_histograms->whole[sort].add(ended.totalTime);
 }
 
 std::string
@@ -135,8 +135,8 @@
     }
     text += "# TYPE indigoway_first_answer_seconds histogram\n";
     for (const bool isGeneration : {false, true}) {
-        text += m_histograms->untilFirst[isGeneration ? 1 : 0].text("first_answer_seconds",
-                                                                    isGeneration);
+        text += m_histograms->timeToFirstAnswer[isGeneration ? 1 : 0].text("first_answer_seconds",
+                                                                           isGeneration);
     }
     text += "# TYPE indigoway_request_seconds histogram\n";
     for (const bool isGeneration : {false, true}) {
--- a/tests/edge/edgemetricstest.cpp
+++ b/tests/edge/edgemetricstest.cpp
@@ -53,8 +53,8 @@
         EdgeMetrics metrics;
         for (const int milliseconds : {0, 5, 50, 500, 200'000}) {
             RequestEnded ended;
-            ended.whole = std::chrono::milliseconds(milliseconds);
-            ended.untilFirst = ended.whole;
+            ended.totalTime = std::chrono::milliseconds(milliseconds);
+            ended.timeToFirstAnswer = ended.totalTime;
             metrics.add(ended);
         }
         const std::string text = metrics.text({});
