--- a/src/dispatch/crashdetector.cpp
+++ b/src/dispatch/crashdetector.cpp
@@ -52,7 +52,7 @@
 
 void CrashDetector::recordAnswer(Step &step, const ContentId &content)
 {
-    if (m_state.crashes.crashes(content) == 0) {
+    if (m_state.crashes.crashCount(content) == 0) {
         return;
     }
     m_state.crashes.recordAnswer(content, CrashRecords::UnconfirmedRevision, step.now);
--- a/src/dispatch/crashrecords.cpp
+++ b/src/dispatch/crashrecords.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-std::uint32_t CrashRecords::crashes(const ContentId &content) const
+std::uint32_t CrashRecords::crashCount(const ContentId &content) const
 {
     const auto it = m_entries.find(content);
     return it == m_entries.end() ? 0 : crashCountOf(it->second);
@@ -43,7 +43,7 @@
     });
 }
 
-std::size_t CrashRecords::refused() const
+std::size_t CrashRecords::refusedCount() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_entries.begin(), m_entries.end(),
--- a/src/dispatch/crashrecords.h
+++ b/src/dispatch/crashrecords.h
@@ -44,7 +44,7 @@
     /** Records a complete answer, which clears crashes up to @p revision. */
     void recordAnswer(const ContentId &content, std::uint64_t revision, TimePoint now);
     /** Returns the number of consecutive crashes, at most MaxCrashes. */
-    std::uint32_t crashes(const ContentId &content) const;
+    std::uint32_t crashCount(const ContentId &content) const;
     /**
      * Returns the time until which @p content is refused, or nothing if it may be sent to a server.
      */
@@ -52,7 +52,7 @@
     /** Removes entries that were not updated within RetentionTime. */
     void removeExpired(TimePoint now);
     std::size_t size() const { return m_entries.size(); }
-    std::size_t refused() const;
+    std::size_t refusedCount() const;
 
 private:
     struct Entry
--- a/src/dispatch/dispatchstate.cpp
+++ b/src/dispatch/dispatchstate.cpp
@@ -27,7 +27,7 @@
     request.server = server.name;
     request.callKind = call.kind;
     request.callStarted = step.now;
-    request.knownCrashes = crashes.crashes(request.arrival.content);
+    request.knownCrashes = crashes.crashCount(request.arrival.content);
     request.call = calls.start(step, server, std::move(call));
 }
 
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -275,7 +275,7 @@
     record("content_refused",
            {{"content", note.content.text()},
             {"refused", note.count > 0 ? "yes" : "no"},
-            {"crashes", std::to_string(m_dispatcher.crashes().crashes(note.content))},
+            {"crashes", std::to_string(m_dispatcher.crashes().crashCount(note.content))},
             {"revision", std::to_string(revision)}});
 }
 
@@ -426,7 +426,7 @@
         {"order_looks", m_dispatcher.orderLooks()},
         {"quotas_scarce", m_scheduling.quotaKeeper().scarce()},
         {"contents_crashed", m_dispatcher.crashes().size()},
-        {"contents_refused", m_dispatcher.crashes().refused()},
+        {"contents_refused", m_dispatcher.crashes().refusedCount()},
         {"leaving", m_leavingSince ? 1U : 0U},
     });
 }
--- a/tests/dispatch/crashrecordstest.cpp
+++ b/tests/dispatch/crashrecordstest.cpp
@@ -32,15 +32,15 @@
     void highestCountApplies()
     {
         CrashRecords records;
-        CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(0U, records.crashCount(Content));
         records.recordCrash(Content, 2, 10, at(0));
         records.recordCrash(Content, 1, 11, at(0));
-        CPPUNIT_ASSERT_EQUAL(2U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(2U, records.crashCount(Content));
         CPPUNIT_ASSERT(!records.refusedUntil(Content));
         records.recordCrash(Content, 7, 12, at(1));
-        CPPUNIT_ASSERT_EQUAL(3U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(3U, records.crashCount(Content));
         CPPUNIT_ASSERT(*records.refusedUntil(Content) == at(1) + CrashRecords::RetentionTime);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, records.refused());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, records.refusedCount());
     }
 
     void answerClearsEarlierCrashes()
@@ -48,11 +48,11 @@
         CrashRecords records;
         records.recordCrash(Content, 3, 10, at(0));
         records.recordAnswer(Content, 11, at(0));
-        CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(0U, records.crashCount(Content));
         records.recordCrash(Content, 1, 12, at(0));
-        CPPUNIT_ASSERT_EQUAL(1U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(1U, records.crashCount(Content));
         records.recordAnswer(Content, CrashRecords::UnconfirmedRevision, at(0));
-        CPPUNIT_ASSERT_EQUAL(0U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(0U, records.crashCount(Content));
     }
 
     // A starting node reads the records ordered by key, not by revision.
@@ -62,7 +62,7 @@
         records.recordAnswer(Content, 11, at(0));
         records.recordCrash(Content, 1, 12, at(0));
         records.recordCrash(Content, 3, 10, at(0));
-        CPPUNIT_ASSERT_EQUAL(1U, records.crashes(Content));
+        CPPUNIT_ASSERT_EQUAL(1U, records.crashCount(Content));
     }
 
     void entriesExpire()
@@ -85,8 +85,8 @@
             records.recordCrash(ContentId("other " + std::to_string(i)), 1, 2, at(i / 100));
         }
         CPPUNIT_ASSERT_EQUAL(CrashRecords::MaxContents, records.size());
-        CPPUNIT_ASSERT_EQUAL(3U, records.crashes(Content));
-        CPPUNIT_ASSERT_EQUAL(1U, records.crashes(ContentId("other 4999")));
+        CPPUNIT_ASSERT_EQUAL(3U, records.crashCount(Content));
+        CPPUNIT_ASSERT_EQUAL(1U, records.crashCount(ContentId("other 4999")));
     }
 };
 
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -299,7 +299,7 @@
         node.reduce(Later, TimePassed {});
         const auto number = node.arrive(Later, "stream", Prompt, {}, Crashing);
         CPPUNIT_ASSERT_EQUAL(text("open"), node.outcome(number));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, node.dispatcher().crashes().refused());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, node.dispatcher().crashes().refusedCount());
     }
 };
 
