--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -108,7 +108,7 @@
     m_generations.forget(name);
 }
 
-void Dispatcher::leave(TimePoint now, TimePoint endsAt)
+void Dispatcher::startDrain(TimePoint now, TimePoint endsAt)
 {
     m_drainingSince = now;
     m_endsAt = endsAt;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -43,7 +43,7 @@
     /** Returns whether phase orders are due but the order token is missing. */
     bool wantsOrderToken() const { return m_generations.phases().wantsToken(); }
     /** Returns the number of evaluations of phase orders so far. */
-    std::uint64_t orderLooks() const { return m_generations.phases().evaluations(); }
+    std::uint64_t orderEvaluations() const { return m_generations.phases().evaluations(); }
     /** Sets the fencing token that is required to order phase changes; nothing if there is none. */
     void setOrderToken(std::optional<std::uint64_t> token) { m_orderToken = token; }
     /**
@@ -52,7 +52,7 @@
      */
     void setScheduler(std::optional<NodeName> name);
     /** Starts the drain of this node. Requests that cannot complete by @p endsAt are rejected. */
-    void leave(TimePoint now, TimePoint endsAt);
+    void startDrain(TimePoint now, TimePoint endsAt);
 
     /**
      * Applies a crash note that a node has stored.
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -150,7 +150,7 @@
     m_leavingSince = now;
     m_roster.setLeaving();
     m_relay.beginLeaving();
-    m_dispatcher.leave(now, now + m_settings.endsWithin - EndMargin);
+    m_dispatcher.startDrain(now, now + m_settings.endsWithin - EndMargin);
     m_sync.records().leave();
     record("leave", {{"open_requests", std::to_string(m_dispatcher.open())}});
 }
@@ -423,7 +423,7 @@
         {"scheduler_granted", m_scheduling.scheduler().granted()},
         {"scheduler_engines_looked", m_scheduling.scheduler().enginesLooked()},
         {"scheduler_unsent", m_scheduling.unsent()},
-        {"order_looks", m_dispatcher.orderLooks()},
+        {"order_looks", m_dispatcher.orderEvaluations()},
         {"quotas_scarce", m_scheduling.quotaKeeper().scarce()},
         {"contents_crashed", m_dispatcher.crashes().size()},
         {"contents_refused", m_dispatcher.crashes().refusedCount()},
--- a/tests/dispatch/phasecontrollertest.cpp
+++ b/tests/dispatch/phasecontrollertest.cpp
@@ -96,8 +96,8 @@
         for (int time = 0; time < 1'000; time += 5) {
             harness.reduce(time, TimePassed {});
         }
-        CPPUNIT_ASSERT(harness.dispatcher().orderLooks() >= 4);
-        CPPUNIT_ASSERT(harness.dispatcher().orderLooks() <= 5);
+        CPPUNIT_ASSERT(harness.dispatcher().orderEvaluations() >= 4);
+        CPPUNIT_ASSERT(harness.dispatcher().orderEvaluations() <= 5);
     }
 
     void requestsWorkOnlyWithTheOrderRight()
--- a/tests/dispatch/plainflowtest.cpp
+++ b/tests/dispatch/plainflowtest.cpp
@@ -271,7 +271,7 @@
         DispatcherHarness harness;
         harness.useRoutes();
         harness.addServer("a");
-        harness.dispatcher().leave(DispatcherHarness::at(0), DispatcherHarness::at(7'000));
+        harness.dispatcher().startDrain(DispatcherHarness::at(0), DispatcherHarness::at(7'000));
         CPPUNIT_ASSERT_EQUAL(text("open"), harness.outcome(harness.arrive(100, "plain")));
         CPPUNIT_ASSERT_EQUAL(text("rejected"),
                              harness.outcome(harness.arrive(2'000, "stream", 5'000)));
