--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -11,7 +11,7 @@
                 std::optional<Duration> copyAge, std::optional<Duration> mostCopyAge)
 {
     const Organisation *organisation =
-        credentials.key ? table.organisationWith(*credentials.key) : nullptr;
+        credentials.key ? table.organisationByKey(*credentials.key) : nullptr;
     if (route.isOpen || !table.wantsKeys()) {
         return Admitted {organisation};
     }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -447,7 +447,7 @@
     for (const auto &[number, request] : m_state.requests.all()) {
         const bool hasLostKey = request.table->wantsKeys() && !request.route->isOpen
             && request.organisation && request.arrival.credentials.key
-            && !m_table->organisationWith(*request.arrival.credentials.key);
+            && !m_table->organisationByKey(*request.arrival.credentials.key);
         if (hasLostKey && !request.mayHaveExecuted()) {
             numbers.push_back(number);
         }
--- a/src/routing/routetable.cpp
+++ b/src/routing/routetable.cpp
@@ -29,7 +29,7 @@
     return hash;
 }
 
-const Organisation *RouteTable::organisationWith(const KeyDigest &key) const
+const Organisation *RouteTable::organisationByKey(const KeyDigest &key) const
 {
     const auto it = m_keys.find(key);
     return it == m_keys.end() ? nullptr : &m_state.organisations[it->second];
--- a/src/routing/routetable.h
+++ b/src/routing/routetable.h
@@ -27,7 +27,7 @@
     bool wantsKeys() const { return m_state.wantsKeys; }
     const std::vector<Organisation> &organisations() const { return m_state.organisations; }
     /** Returns the organisation that owns @p key, or null. */
-    const Organisation *organisationWith(const KeyDigest &key) const;
+    const Organisation *organisationByKey(const KeyDigest &key) const;
     /** Returns null if the organisation is not configured. */
     const Organisation *organisation(const OrganisationName &name) const;
 
