--- a/src/dispatch/crashdetector.cpp
+++ b/src/dispatch/crashdetector.cpp
@@ -40,7 +40,7 @@
     step.add(LogDecision {"server_crashed",
                           {},
                           "server=" + call.server.name.text() + " address=" + call.server.address
-                              + " why=" + event.why + crashedContents});
+                              + " why=" + event.reason + crashedContents});
 }
 
 void CrashDetector::recordCrash(Step &step, const ContentId &content, std::uint32_t count)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -319,7 +319,7 @@
     m_state.requests.closeDisconnected(step, *request);
 }
 
-void Dispatcher::handle(Step &step, const StreamBegan &event)
+void Dispatcher::handle(Step &step, const StreamStarted &event)
 {
     const OpenCall *call = m_state.calls.find(event.call);
     OpenRequest *request = call ? m_state.requests.find(call->request) : nullptr;
@@ -327,7 +327,7 @@
         step.add(AbandonCall {event.call});
         return;
     }
-    flowOf(*request).streamBegan(step, *request, event);
+    flowOf(*request).streamStarted(step, *request, event);
 }
 
 void Dispatcher::handle(Step &step, const CallEnded &event)
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -72,7 +72,7 @@
 private:
     void handle(Step &step, const ArrivedRequest &event);
     void handle(Step &step, const CallerLeft &event);
-    void handle(Step &step, const StreamBegan &event);
+    void handle(Step &step, const StreamStarted &event);
     void handle(Step &step, const CallEnded &event);
     void handle(Step &step, const SchedulerAnswered &event);
     void handle(Step &step, const QuotaKeeperAnswered &event);
--- a/src/dispatch/dispatchevents.h
+++ b/src/dispatch/dispatchevents.h
@@ -55,7 +55,7 @@
 };
 
 /** Signals the first event of a stream; the call continues. */
-struct StreamBegan
+struct StreamStarted
 {
     CallNumber call;
     int status = 0;
@@ -65,7 +65,7 @@
 /** Status reported by an engine, a few hundred milliseconds old. */
 struct EngineReport
 {
-    bool isCarryingOutOrder = false;
+    bool isExecutingOrder = false;
     std::uint64_t ordersTaken = 0; ///< Orders accepted since the engine started.
     std::uint64_t startedAt = 0;   ///< Start time of the engine process; 0 if not reported.
 };
@@ -81,7 +81,7 @@
     std::optional<EngineReport> report; ///< Of a Report that was answered.
     std::uint32_t events = 0;           ///< Complete stream events that were forwarded.
     bool isConnectionLost = false;      ///< For Broken: the server closed or reset the connection.
-    std::string why;                    ///< Failure reason, for logs.
+    std::string reason;                 ///< Failure reason, for logs.
 };
 
 /** Carries an answer of the scheduler node. */
@@ -103,7 +103,7 @@
 {
 };
 
-using DispatchEvent = std::variant<ArrivedRequest, CallerLeft, StreamBegan, CallEnded,
+using DispatchEvent = std::variant<ArrivedRequest, CallerLeft, StreamStarted, CallEnded,
                                    SchedulerAnswered, QuotaKeeperAnswered, TimePassed>;
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/dispatchstate.h
+++ b/src/dispatch/dispatchstate.h
@@ -68,7 +68,7 @@
     virtual ~RequestFlow() = default;
 
     virtual void begin(Step &step, OpenRequest &request) = 0;
-    virtual void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) = 0;
+    virtual void streamStarted(Step &step, OpenRequest &request, const StreamStarted &event) = 0;
     virtual void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                            const CallEnded &event) = 0;
     /** Handles the end of a call whose request has already ended. */
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -69,7 +69,7 @@
     enqueue(step, request);
 }
 
-void GenerationFlow::streamBegan(Step &step, OpenRequest &request, const StreamBegan &event)
+void GenerationFlow::streamStarted(Step &step, OpenRequest &request, const StreamStarted &event)
 {
     request.streamingCall = event.call;
     if (request.isForwarding) {
@@ -381,7 +381,7 @@
         request.countedCalls = 1; // Only successful prefills are exempt from the retry budget.
     }
     step.add(LogDecision {"prefill_failed", request.arrival.callerId,
-                          "server=" + server.text() + " " + event.why});
+                          "server=" + server.text() + " " + event.reason});
     request.triedServers.insert(server);
     prefill(step, request);
 }
@@ -432,7 +432,7 @@
             // complete.
             m_state.tracker.recordAnswer(server, step.now - call.started, false, step.now);
             CallEnded failure = event;
-            failure.why =
+            failure.reason =
                 "answered " + std::to_string(event.status) + " instead of resuming the stream";
             decodeFailed(step, request, failure);
             return;
@@ -468,7 +468,7 @@
     ClaimEnd result = ClaimEnd::Dropped;
     step.add(LogDecision {"decode_not_run", request.arrival.callerId,
                           "kind=" + std::string(nameOf(call.kind))
-                              + " server=" + call.server.name.text() + " " + event.why});
+                              + " server=" + call.server.name.text() + " " + event.reason});
     recordFailure(step, call.server.name, event.end);
     if (event.end == CallEnd::NotConnected) {
         --request.countedCalls;
@@ -512,15 +512,15 @@
     if (mayResume) {
         step.add(LogDecision {"resume", request.arrival.callerId,
                               "after_events=" + std::to_string(request.forwardedEvents) + " "
-                                  + event.why});
+                                  + event.reason});
         request.countedCalls = 0; // The retry has already been charged to the budget.
         enqueue(step, request);
         return;
     }
     if (request.isForwarding) {
-        m_state.requests.abortStream(step, request, event.why);
+        m_state.requests.abortStream(step, request, event.reason);
     } else {
-        m_state.requests.failInDoubt(step, request, BadGateway, event.why);
+        m_state.requests.failInDoubt(step, request, BadGateway, event.reason);
     }
 }
 
--- a/src/dispatch/generationflow.h
+++ b/src/dispatch/generationflow.h
@@ -34,7 +34,7 @@
     void schedulerAnswered(Step &step, const SchedulerAnswered &event);
 
     void begin(Step &step, OpenRequest &request) override;
-    void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) override;
+    void streamStarted(Step &step, OpenRequest &request, const StreamStarted &event) override;
     void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                    const CallEnded &event) override;
     void orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
--- a/src/dispatch/phasecontroller.cpp
+++ b/src/dispatch/phasecontroller.cpp
@@ -60,12 +60,12 @@
     const bool isSameInstance = event.report
         && (event.report->startedAt == 0 || call.server.startedAt == 0
             || event.report->startedAt == call.server.startedAt);
-    const bool mayOrder = isSameInstance && !event.report->isCarryingOutOrder
+    const bool mayOrder = isSameInstance && !event.report->isExecutingOrder
         && step.now <= m_orderTokenAt + TokenValidity;
     if (!mayOrder) {
         cancelOrder(step, call.server.name);
         step.add(LogDecision {
-            "order_not_given", {}, "server=" + call.server.name.text() + " " + event.why});
+            "order_not_given", {}, "server=" + call.server.name.text() + " " + event.reason});
         return;
     }
     const EnginePhase phase = m_orders.orderedPhase(call.server.name);
--- a/src/dispatch/plainflow.cpp
+++ b/src/dispatch/plainflow.cpp
@@ -28,7 +28,7 @@
     send(step, request);
 }
 
-void PlainFlow::streamBegan(Step &step, OpenRequest &request, const StreamBegan &event)
+void PlainFlow::streamStarted(Step &step, OpenRequest &request, const StreamStarted &event)
 {
     // Plain services may stream, too.
     request.isForwarding = true;
@@ -51,13 +51,13 @@
     case CallEnd::NotExecuted:
         m_state.tracker.recordRejection(server);
         --request.executions;
-        handleRejection(step, request, event.why);
+        handleRejection(step, request, event.reason);
         return;
     case CallEnd::NotConnected:
         m_state.tracker.recordUnreachable(server, step.now);
         --request.executions;
         --request.countedCalls;
-        handleRejection(step, request, event.why);
+        handleRejection(step, request, event.reason);
         return;
     case CallEnd::Broken:
         m_state.tracker.recordFailure(server, step.now);
@@ -189,17 +189,17 @@
 void PlainFlow::handleFailure(Step &step, OpenRequest &request, const CallEnded &event)
 {
     if (request.isForwarding) {
-        m_state.requests.abortStream(step, request, event.why);
+        m_state.requests.abortStream(step, request, event.reason);
         return;
     }
     if (mayRetry(request) && pickServer(step, request)
         && m_state.retryBudget(request.service->name).tryTake(step.now)) {
         step.add(
-            LogDecision {"retry", request.arrival.callerId, "possibly executed: " + event.why});
+            LogDecision {"retry", request.arrival.callerId, "possibly executed: " + event.reason});
         send(step, request);
         return;
     }
-    m_state.requests.failInDoubt(step, request, BadGateway, event.why);
+    m_state.requests.failInDoubt(step, request, BadGateway, event.reason);
 }
 
 } // namespace indigoway::dispatch
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -130,7 +130,7 @@
     open.ready += whole;
     if (!open.hasBegun) {
         open.hasBegun = true;
-        post(StreamBegan {call, open.head.status, open.facts.load});
+        post(StreamStarted {call, open.head.status, open.facts.load});
     }
 }
 
@@ -153,7 +153,7 @@
     ended.call = open.call.call;
     ended.status = open.head.status;
     ended.load = open.facts.load;
-    ended.why = why;
+    ended.reason = why;
     ended.isConnectionLost = end == TransferEnd::Lost;
     if (open.call.kind == CallKind::Probe) {
         ended.end = end == TransferEnd::Complete ? CallEnd::Complete : CallEnd::NotConnected;
@@ -176,7 +176,7 @@
     }
     if (open.facts.isNotExecuted) {
         ended.end = CallEnd::NotExecuted;
-        ended.why = "turned away with " + std::to_string(open.head.status);
+        ended.reason = "turned away with " + std::to_string(open.head.status);
         return ended;
     }
     ended.end = CallEnd::Complete;
@@ -187,13 +187,14 @@
             ended.handle = grant.handle;
             ended.report = grant.report;
         }
-        ended.why = "status " + std::to_string(open.head.status);
+        ended.reason = "status " + std::to_string(open.head.status);
         return ended;
     }
     if (!open.facts.isGenuine) {
         // No server's mark: these bytes are nobody's answer, and whether it ran is not known.
         ended.end = CallEnd::Broken;
-        ended.why = "answer without the server's mark, status " + std::to_string(open.head.status);
+        ended.reason =
+            "answer without the server's mark, status " + std::to_string(open.head.status);
     }
     return ended;
 }
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -137,7 +137,7 @@
                 harness.loseConnection(milliseconds, call);
                 return;
             }
-            harness.reduce(milliseconds, StreamBegan {call.call, 200, {}});
+            harness.reduce(milliseconds, StreamStarted {call.call, 200, {}});
             harness.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         case CallKind::Probe:
--- a/tests/dispatch/generationflowtest.cpp
+++ b/tests/dispatch/generationflowtest.cpp
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT(!decode.reservation.empty());
         CPPUNIT_ASSERT(!decode.handle.empty());
         CPPUNIT_ASSERT_EQUAL(prefill.address, decode.handleAddress);
-        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.reduce(200, StreamStarted {decode.call, 200, {}});
         harness.end(3'000, decode, CallEnd::Complete, 200);
         CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
         CPPUNIT_ASSERT(!harness.hasCalls());
@@ -154,7 +154,7 @@
         harness.grant(112, harness.nextCall(CallKind::Reserve));
         const StartCall whole = harness.nextCall(CallKind::Whole);
         CPPUNIT_ASSERT(!whole.reservation.empty());
-        harness.reduce(400, StreamBegan {whole.call, 200, {}});
+        harness.reduce(400, StreamStarted {whole.call, 200, {}});
         for (int time = 410; time < 1'000; time += 100) {
             harness.arrive(time, "stream", Prompt);
             harness.grant(time + 2, harness.nextCall(CallKind::Reserve));
@@ -197,7 +197,7 @@
         useEngines(harness);
         const auto request = harness.arrive(0, "stream", Prompt);
         const StartCall decode = runToDecode(harness, 2);
-        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.reduce(200, StreamStarted {decode.call, 200, {}});
         harness.end(900, decode, CallEnd::Broken, 200);
         CPPUNIT_ASSERT(!harness.hasCalls());
         CPPUNIT_ASSERT_EQUAL(text("cut"), harness.outcome(request));
@@ -210,7 +210,7 @@
         useEngines(harness);
         const auto request = harness.arrive(0, "resumable", Prompt);
         const StartCall decode = runToDecode(harness, 2);
-        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.reduce(200, StreamStarted {decode.call, 200, {}});
         CallEnded broken;
         broken.call = decode.call;
         broken.end = CallEnd::Broken;
@@ -221,7 +221,7 @@
         harness.grant(902, reserve);
         const StartCall whole = harness.nextCall(CallKind::Whole);
         CPPUNIT_ASSERT(whole.isResumption);
-        harness.reduce(1'200, StreamBegan {whole.call, 200, {}});
+        harness.reduce(1'200, StreamStarted {whole.call, 200, {}});
         harness.end(2'000, whole, CallEnd::Complete, 200);
         CPPUNIT_ASSERT_EQUAL(text("streamed"), harness.outcome(request));
     }
@@ -234,7 +234,7 @@
         useEngines(harness);
         const auto request = harness.arrive(0, "resumable", Prompt);
         const StartCall decode = runToDecode(harness, 2);
-        harness.reduce(200, StreamBegan {decode.call, 200, {}});
+        harness.reduce(200, StreamStarted {decode.call, 200, {}});
         CallEnded broken;
         broken.call = decode.call;
         broken.end = CallEnd::Broken;
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -62,7 +62,7 @@
         harness.grant(150, prefill);
         CPPUNIT_ASSERT(harness.nextSchedulerMessage<PrefillEnded>().isDone);
         const StartCall decode = harness.nextCall(CallKind::Decode);
-        harness.reduce(180, StreamBegan {decode.call, 200, {}});
+        harness.reduce(180, StreamStarted {decode.call, 200, {}});
         harness.end(3'000, decode, CallEnd::Complete, 200);
         CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::Served);
         CPPUNIT_ASSERT_EQUAL(std::string("streamed"), harness.outcome(request));
