--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -225,8 +225,8 @@
 void GenerationFlow::schedulerAnswered(Step &step, const SchedulerAnswered &event)
 {
     const auto number = m_claims.answered(step, event.message, event.life, m_state.requests);
-    if (const auto *told = std::get_if<scheduling::WorkTold>(&event.message)) {
-        m_phases.updateWork(told->service, told->work);
+    if (const auto *measured = std::get_if<scheduling::WorkTold>(&event.message)) {
+        m_phases.updateWork(measured->service, measured->work);
         return;
     }
     OpenRequest *request = number ? m_state.requests.find(*number) : nullptr;
--- a/tests/dispatch/dispatcherharness.h
+++ b/tests/dispatch/dispatcherharness.h
@@ -142,8 +142,8 @@
                 m_calls.push_back(*call);
             } else if (const auto *abandoned = std::get_if<AbandonCall>(&effect)) {
                 m_abandoned.push_back(abandoned->call);
-            } else if (const auto *told = std::get_if<SendToScheduler>(&effect)) {
-                m_schedulerMessages.push_back(told->message);
+            } else if (const auto *message = std::get_if<SendToScheduler>(&effect)) {
+                m_schedulerMessages.push_back(message->message);
             } else if (const auto *asked = std::get_if<SendToQuotaKeeper>(&effect)) {
                 m_keeperMessages.push_back(asked->message);
             } else if (const auto *shared = std::get_if<PublishCrash>(&effect)) {
--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -207,8 +207,8 @@
         CPPUNIT_ASSERT_EQUAL(503, harness.status(request)); // There is no server.
         double last = -1;
         for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
-            const auto &told = std::get<quotas::UsageTold>(message);
-            last = told.used.empty() ? last : told.used.back().units;
+            const auto &usage = std::get<quotas::UsageTold>(message);
+            last = usage.used.empty() ? last : usage.used.back().units;
         }
         CPPUNIT_ASSERT_EQUAL(0.0, last);
     }
