--- a/src/dispatch/plainflow.cpp
+++ b/src/dispatch/plainflow.cpp
@@ -161,7 +161,7 @@
     if (!isSuccess && mayRetry(request) && pickServer(step, request)
         && m_state.retryBudget(request.service->name).tryTake(step.now)) {
         step.add(LogDecision {"retry", request.arrival.callerId,
-                              "status=" + std::to_string(event.status)
+                              "after status=" + std::to_string(event.status)
                                   + " server=" + call.server.name.text()});
         send(step, request);
         return;
