--- a/src/edge/schedulerlink.cpp
+++ b/src/edge/datagramsocket.cpp
@@ -1,4 +1,4 @@
-#include "schedulerlink.h"
+#include "datagramsocket.h"
 
 #include "http/httpserver.h"
 
@@ -14,11 +14,11 @@
 
 namespace {
 
-/** Of one look at the socket, so that requests' own sockets are not kept waiting. */
-constexpr int MostAtOnce = 64;
-constexpr std::size_t LargestDatagram = std::size_t {4} * 1024;
+/** Limits how long one read event can delay the events of other sockets. */
+constexpr int MaxDatagramsPerEvent = 64;
+constexpr std::size_t MaxDatagramBytes = std::size_t {4} * 1024;
 
-std::optional<sockaddr_in> socketAddress(const DatagramAddress &address)
+std::optional<sockaddr_in> parseAddress(const DatagramAddress &address)
 {
     const auto parts = splitAddress(address);
     sockaddr_in result {};
@@ -30,7 +30,7 @@
     return result;
 }
 
-DatagramAddress textOf(const sockaddr_in &address)
+DatagramAddress formatAddress(const sockaddr_in &address)
 {
     std::array<char, INET_ADDRSTRLEN> host {};
     inet_ntop(AF_INET, &address.sin_addr, host.data(), host.size());
@@ -39,12 +39,12 @@
 
 } // namespace
 
-SchedulerLink::SchedulerLink(event_base *base, Handler handler)
+DatagramSocket::DatagramSocket(event_base *base, Handler handler)
     : m_base(base)
     , m_handler(std::move(handler))
 { }
 
-SchedulerLink::~SchedulerLink()
+DatagramSocket::~DatagramSocket()
 {
     m_readable.reset();
     if (m_socket >= 0) {
@@ -52,15 +52,16 @@
     }
 }
 
-std::optional<DatagramAddress> SchedulerLink::listenOn(const DatagramAddress &address)
+std::optional<DatagramAddress> DatagramSocket::listenOn(const DatagramAddress &address)
 {
-    const auto wanted = socketAddress(address);
-    if (!wanted) {
+    const auto requested = parseAddress(address);
+    if (!requested) {
         return std::nullopt;
     }
     m_socket = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (m_socket < 0
-        || bind(m_socket, reinterpret_cast<const sockaddr *>(&*wanted), sizeof *wanted) != 0) {
+        || bind(m_socket, reinterpret_cast<const sockaddr *>(&*requested), sizeof *requested)
+            != 0) {
         return std::nullopt;
     }
     sockaddr_in bound {};
@@ -68,15 +69,15 @@
     getsockname(m_socket, reinterpret_cast<sockaddr *>(&bound), &length);
     m_readable.reset(event_new(
         m_base, m_socket, EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void *self) { static_cast<SchedulerLink *>(self)->receive(); },
+        [](evutil_socket_t, short, void *self) { static_cast<DatagramSocket *>(self)->receive(); },
         this));
     event_add(m_readable.get(), nullptr);
-    return textOf(bound);
+    return formatAddress(bound);
 }
 
-void SchedulerLink::send(const DatagramAddress &to, std::string_view text)
+void DatagramSocket::send(const DatagramAddress &to, std::string_view text)
 {
-    const auto address = socketAddress(to);
+    const auto address = parseAddress(to);
     const bool isSent = address && m_socket >= 0
         && sendto(m_socket, text.data(), text.size(), 0,
                   reinterpret_cast<const sockaddr *>(&*address), sizeof *address)
@@ -84,10 +85,10 @@
     m_unsent += isSent ? 0 : 1;
 }
 
-void SchedulerLink::receive()
+void DatagramSocket::receive()
 {
-    std::array<char, LargestDatagram> buffer {};
-    for (int i = 0; i < MostAtOnce; ++i) {
+    std::array<char, MaxDatagramBytes> buffer {};
+    for (int i = 0; i < MaxDatagramsPerEvent; ++i) {
         sockaddr_in from {};
         socklen_t length = sizeof from;
         const ssize_t size = recvfrom(m_socket, buffer.data(), buffer.size(), 0,
@@ -95,7 +96,7 @@
         if (size < 0) {
             return;
         }
-        m_handler(textOf(from), std::string(buffer.data(), static_cast<std::size_t>(size)));
+        m_handler(formatAddress(from), std::string(buffer.data(), static_cast<std::size_t>(size)));
     }
 }
 
--- a/src/edge/schedulerlink.h
+++ b/src/edge/datagramsocket.h
@@ -11,23 +11,27 @@
 
 namespace indigoway {
 
-/** Where a datagram came from, or is to go: "IP:port". */
+/** Source or destination of a datagram: "IP:port". */
 using DatagramAddress = std::string;
 
-/** One UDP socket; sending never blocks, and what cannot be sent is lost like any datagram. */
-class SchedulerLink
+/** A non-blocking UDP socket. A datagram that cannot be sent at once is dropped. */
+class DatagramSocket
 {
 public:
     using Handler = std::function<void(const DatagramAddress &from, const std::string &text)>;
 
-    SchedulerLink(event_base *base, Handler handler);
-    ~SchedulerLink();
-    SchedulerLink(const SchedulerLink &) = delete;
-    SchedulerLink &operator=(const SchedulerLink &) = delete;
+    DatagramSocket(event_base *base, Handler handler);
+    ~DatagramSocket();
+    DatagramSocket(const DatagramSocket &) = delete;
+    DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /** The address bound, with the port that was chosen for port 0; nothing if it cannot be had. */
+    /**
+     * Binds the socket to @p address; port 0 takes a free port.
+     * @return the bound address; nothing on failure.
+     */
     std::optional<DatagramAddress> listenOn(const DatagramAddress &address);
     void send(const DatagramAddress &to, std::string_view text);
+    /** @return the number of datagrams dropped by send(). */
     std::uint64_t unsent() const { return m_unsent; }
 
 private:
--- a/src/edge/edgemetrics.cpp
+++ b/src/edge/edgemetrics.cpp
@@ -12,16 +12,16 @@
 
 namespace bh = boost::histogram;
 
-/** From a millisecond to a hundred seconds, six buckets to a factor of ten. */
-constexpr unsigned Buckets = 30;
-constexpr double LeastSeconds = 1e-3;
-constexpr double MostSeconds = 100;
+// Six logarithmic buckets per decade.
+constexpr unsigned BucketCount = 30;
+constexpr double MinSeconds = 1e-3;
+constexpr double MaxSeconds = 100;
 
-/** By organisation and outcome; operators declare the names, and may change them often. */
-constexpr std::size_t MostSeries = 10'000;
+/** Bounds the cardinality of the series by organisation and outcome. */
+constexpr std::size_t MaxOrganisationSeries = 10'000;
 
-/** As the text format has it between quotation marks. */
-std::string labelText(const std::string &text)
+/** Escapes a label value for the text format. */
+std::string escapedLabelValue(const std::string &text)
 {
     std::string escaped;
     for (const char c : text) {
@@ -37,10 +37,10 @@
 auto makeHistogram()
 {
     using Axis = bh::axis::regular<double, bh::axis::transform::log>;
-    return bh::make_histogram(Axis(Buckets, LeastSeconds, MostSeconds));
+    return bh::make_histogram(Axis(BucketCount, MinSeconds, MaxSeconds));
 }
 
-const char *sortName(bool isGeneration)
+const char *sortLabel(bool isGeneration)
 {
     return isGeneration ? "generation" : "plain";
 }
@@ -50,8 +50,8 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/** A histogram with what Prometheus wants besides its buckets. */
-struct Series
+/** A latency histogram in seconds with the sum that Prometheus expects beside the buckets. */
+struct LatencyHistogram
 {
     decltype(makeHistogram()) buckets = makeHistogram();
     double sum = 0;
@@ -64,12 +64,12 @@
 
     std::string text(const std::string &name, bool isGeneration) const
     {
-        const std::string labels = fmt::format("sort=\"{}\"", sortName(isGeneration));
+        const std::string labels = fmt::format("sort=\"{}\"", sortLabel(isGeneration));
         std::string text;
         double count = 0;
         for (auto &&bin : bh::indexed(buckets, bh::coverage::all)) {
             count += *bin;
-            if (bin.index() >= 0 && static_cast<unsigned>(bin.index()) < Buckets) {
+            if (bin.index() >= 0 && static_cast<unsigned>(bin.index()) < BucketCount) {
                 text += fmt::format("indigoway_{}_bucket{{{},le=\"{:.4g}\"}} {}\n", name, labels,
                                     bin.bin().upper(), count);
             }
@@ -85,8 +85,9 @@
 
 struct EdgeMetrics::Histograms
 {
-    std::array<Series, 2> untilFirst; ///< By sort: plain, generation.
-    std::array<Series, 2> whole;
+    // Index 0: plain requests; 1: generations.
+    std::array<LatencyHistogram, 2> firstAnswer;
+    std::array<LatencyHistogram, 2> total;
 };
 
 EdgeMetrics::EdgeMetrics()
@@ -100,31 +101,31 @@
     ++m_requests[{ended.isGeneration, ended.outcome}];
     if (!ended.organisation.isEmpty()) {
         const std::pair key {ended.organisation, ended.outcome};
-        const bool isBounded = m_organisations.size() < MostSeries;
-        ++m_organisations[isBounded || m_organisations.contains(key)
+        const bool hasRoom = m_organisations.size() < MaxOrganisationSeries;
+        ++m_organisations[hasRoom || m_organisations.contains(key)
                               ? key
                               : std::pair {OrganisationName("(others)"), ended.outcome}];
     }
     const std::size_t sort = ended.isGeneration ? 1 : 0;
     if (ended.untilFirst.count() > 0) {
-        m_histograms->untilFirst[sort].add(ended.untilFirst);
+        m_histograms->firstAnswer[sort].add(ended.untilFirst);
     }
-    m_histograms->whole[sort].add(ended.whole);
+    m_histograms->total[sort].add(ended.whole);
 }
 
 std::string
-EdgeMetrics::text(const std::vector<std::pair<std::string, std::uint64_t>> &gauges) const
+EdgeMetrics::prometheusText(const std::vector<std::pair<std::string, std::uint64_t>> &gauges) const
 {
     std::string text = "# TYPE indigoway_requests_total counter\n";
     for (const auto &[key, count] : m_requests) {
         text += fmt::format("indigoway_requests_total{{sort=\"{}\",outcome=\"{}\"}} {}\n",
-                            sortName(key.first), dispatch::nameOf(key.second), count);
+                            sortLabel(key.first), dispatch::nameOf(key.second), count);
     }
     text += "# TYPE indigoway_organisation_requests_total counter\n";
     for (const auto &[key, count] : m_organisations) {
         text += fmt::format(
             "indigoway_organisation_requests_total{{organisation=\"{}\",outcome=\"{}\"}} {}\n",
-            labelText(key.first.text()), dispatch::nameOf(key.second), count);
+            escapedLabelValue(key.first.text()), dispatch::nameOf(key.second), count);
     }
     text += "# TYPE indigoway_decisions_total counter\n";
     for (const auto &[kind, count] : m_decisions) {
@@ -135,12 +136,12 @@
     }
     text += "# TYPE indigoway_first_answer_seconds histogram\n";
     for (const bool isGeneration : {false, true}) {
-        text += m_histograms->untilFirst[isGeneration ? 1 : 0].text("first_answer_seconds",
-                                                                    isGeneration);
+        text += m_histograms->firstAnswer[isGeneration ? 1 : 0].text("first_answer_seconds",
+                                                                     isGeneration);
     }
     text += "# TYPE indigoway_request_seconds histogram\n";
     for (const bool isGeneration : {false, true}) {
-        text += m_histograms->whole[isGeneration ? 1 : 0].text("request_seconds", isGeneration);
+        text += m_histograms->total[isGeneration ? 1 : 0].text("request_seconds", isGeneration);
     }
     return text;
 }
--- a/src/edge/edgemetrics.h
+++ b/src/edge/edgemetrics.h
@@ -13,8 +13,9 @@
 namespace indigoway {
 
 /**
- * Counters and latency histograms of an edge node, in Prometheus' text format. Requests are
- * counted by sort (plain or generation) and outcome, and by organisation; decisions by kind.
+ * Counters and latency histograms of an edge node in the Prometheus text format. Requests are
+ * counted by sort (plain or generation) and outcome, and by organisation and outcome; decisions
+ * are counted by kind.
  */
 class EdgeMetrics
 {
@@ -26,8 +27,12 @@
 
     void add(const dispatch::RequestEnded &ended);
     void add(const dispatch::RecordDecision &decision) { ++m_decisions[decision.kind]; }
-    /** @p gauges are added with their present values. */
-    std::string text(const std::vector<std::pair<std::string, std::uint64_t>> &gauges) const;
+    /**
+     * Formats all metrics.
+     * @param gauges Names, without the "indigoway_" prefix, and current values of further gauges.
+     */
+    std::string
+    prometheusText(const std::vector<std::pair<std::string, std::uint64_t>> &gauges) const;
 
 private:
     struct Histograms;
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -13,51 +13,49 @@
 
 using dispatch::DispatchSettings;
 
-constexpr timeval TickEvery {0, 250'000};
-/** A look at the time that comes so late may be due to a busy processor. */
-constexpr Duration LateTick = std::chrono::milliseconds(600);
-/** A jump of the clocks against each other beyond what reading both one after the other makes. */
-constexpr Duration FreezeNoticed = std::chrono::milliseconds(300);
-/** Left of the time to end for the last bytes and for the process's own end. */
-constexpr Duration EndMargin = std::chrono::milliseconds(600);
-/** Callers who learnt of this node a moment ago still come; they are served before it ends. */
-constexpr Duration LeaveAtLeast = std::chrono::milliseconds(1500);
-
-/** What this life has asked of the store so far; each call costs the operator money. */
-constexpr Duration RecordStoreCallsEvery = std::chrono::seconds(10);
+constexpr timeval TickInterval {0, 250'000};
+/** A tick that is late by no more than this is attributed to a busy processor. */
+constexpr Duration MaxTickDelay = std::chrono::milliseconds(600);
+/** Longer than the error from reading the two clocks one after the other. */
+constexpr Duration MinReportedSuspension = std::chrono::milliseconds(300);
+/** Part of the shutdown timeout that is reserved for the last bytes and the process's exit. */
+constexpr Duration ShutdownMargin = std::chrono::milliseconds(600);
+/** Serves callers who resolved this node's address just before it left. */
+constexpr Duration MinLeaveTime = std::chrono::milliseconds(1500);
+constexpr Duration StoreCallsLogInterval = std::chrono::seconds(10);
 
 TimePoint present()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
 
-/** Time for which the machine stood still since it started. */
-Duration frozenTime()
+/** Returns the time for which the VM was suspended since its boot. */
+Duration suspendedTime()
 {
     return BootClock::now().time_since_epoch() - present().time_since_epoch();
 }
 
-/** Nothing: any copy of the desired state will do. */
-std::optional<Duration> mostCopyAge(const EdgeSettings &settings)
+/** Returns the age limit of the copy of the desired state; nothing if there is no limit. */
+std::optional<Duration> maxCopyAge(const EdgeSettings &settings)
 {
-    // For the clocks of nodes, which do not go at quite the same rate.
+    // The clocks of two nodes run at slightly different rates.
     constexpr Duration Margin = std::chrono::milliseconds(200);
-    return settings.keyCopyAge.count() > 0 ? std::optional(settings.keyCopyAge - Margin)
-                                           : std::nullopt;
+    return settings.maxKeyCopyAge.count() > 0 ? std::optional(settings.maxKeyCopyAge - Margin)
+                                              : std::nullopt;
 }
 
-NodeEntry entryOf(const EdgeSettings &settings)
+NodeEntry makeNodeEntry(const EdgeSettings &settings)
 {
     return {settings.node,    settings.domain,     settings.callers,
             settings.control, settings.scheduling, settings.processors};
 }
 
-DispatchSettings dispatchSettingsOf(const EdgeSettings &settings)
+DispatchSettings makeDispatchSettings(const EdgeSettings &settings)
 {
     return {settings.domain,
             {settings.retryRatio, settings.retryWindow, settings.retrySlack},
-            mostCopyAge(settings),
-            {settings.quotaWindow, settings.quotaOver, settings.quotaSlack}};
+            maxCopyAge(settings),
+            {settings.quotaWindow, settings.quotaOverRatio, settings.quotaSlack}};
 }
 
 } // namespace
@@ -66,25 +64,26 @@
     : m_base(base)
     , m_settings(std::move(settings))
     , m_ports(std::move(ports))
-    , m_life(std::random_device {}())
+    , m_incarnation(std::random_device {}())
     , m_log(m_settings.node)
-    , m_roster(entryOf(m_settings))
-    , m_dispatcher(dispatchSettingsOf(m_settings), present())
+    , m_roster(makeNodeEntry(m_settings))
+    , m_dispatcher(makeDispatchSettings(m_settings), present())
     , m_relay(base, m_dispatcher, *m_ports.dialect, std::random_device {}())
-    , m_sync(base, *m_ports.store, client, wiringOf(*this, m_ports.layout),
-             m_settings.node.text() + "/" + std::to_string(m_life.value()), std::random_device {}())
-    , m_scheduling(base, {m_settings.node, m_life}, schedulingWiringOf(*this))
+    , m_sync(base, *m_ports.store, client, syncDependencies(*this, m_ports.layout),
+             m_settings.node.text() + "/" + std::to_string(m_incarnation.value()),
+             std::random_device {}())
+    , m_scheduling(base, {m_settings.node, m_incarnation}, schedulingDependencies(*this))
     , m_control(
           base, HttpLimits {}, [this](const HttpRequest &request) { handleControl(request); },
-          [this](ExchangeNumber exchange) { m_sync.peerGone(exchange); })
-    , m_exposition(
-          base, HttpLimits {}, [this](const HttpRequest &request) { expose(request); },
+          [this](ExchangeNumber exchange) { m_sync.cancelPeerPoll(exchange); })
+    , m_metricsServer(
+          base, HttpLimits {}, [this](const HttpRequest &request) { handleMetrics(request); },
           [](ExchangeNumber) {})
     , m_timer(event_new(
           base, -1, EV_PERSIST,
           [](evutil_socket_t, short, void *self) { static_cast<EdgeNode *>(self)->tick(); }, this))
     , m_random(std::random_device {}())
-    , m_frozen(frozenTime())
+    , m_suspendedTime(suspendedTime())
 {
     m_relay.setCopyAge([this] { return m_sync.copyAge(BootClock::now()); });
     m_relay.setEndedHandler([this](const dispatch::RequestEnded &ended) { m_metrics.add(ended); });
@@ -93,11 +92,11 @@
         record(decision.kind, {{"request", decision.callerId}, {"detail", decision.detail}});
     });
     m_relay.setCrashHandler(
-        [this](const dispatch::ShareCrash &crash) { m_sync.records().publish(crash.note); });
+        [this](const dispatch::ShareCrash &crash) { m_sync.storeWriter().publish(crash.note); });
     m_relay.setSchedulerHandler(
-        [this](const scheduling::ToScheduler &message) { m_scheduling.tell(message); });
+        [this](const scheduling::ToScheduler &message) { m_scheduling.send(message); });
     m_relay.setQuotaHandler(
-        [this](const quotas::ToKeeper &message) { m_scheduling.tell(message); });
+        [this](const quotas::ToKeeper &message) { m_scheduling.send(message); });
 }
 
 bool EdgeNode::start()
@@ -113,7 +112,7 @@
                 [this](const std::string &address) { return m_scheduling.listenOn(address); }))
         && (m_settings.metrics.empty()
             || listenOn(m_settings.metrics, [this](const std::string &address) {
-                   return m_exposition.listenOn(address);
+                   return m_metricsServer.listenOn(address);
                }));
     if (!isListening) {
         return false;
@@ -124,15 +123,15 @@
             {"control", m_settings.control},
             {"metrics", m_settings.metrics},
             {"domain", m_settings.domain.text()}});
-    event_add(m_timer.get(), &TickEvery);
-    m_roster.setSelf(entryOf(m_settings));
-    m_sync.start(entryOf(m_settings));
+    event_add(m_timer.get(), &TickInterval);
+    m_roster.setSelf(makeNodeEntry(m_settings));
+    m_sync.start(makeNodeEntry(m_settings));
     return true;
 }
 
-bool EdgeNode::listenOn(std::string &address, const Listen &listen)
+bool EdgeNode::listenOn(std::string &address, const Binder &bind)
 {
-    const auto bound = listen(address);
+    const auto bound = bind(address);
     if (!bound) {
         record("cannot_listen", {{"address", address}});
         return false;
@@ -150,8 +149,8 @@
     m_leavingSince = now;
     m_roster.setLeaving();
     m_relay.beginLeaving();
-    m_dispatcher.leave(now, now + m_settings.endsWithin - EndMargin);
-    m_sync.records().leave();
+    m_dispatcher.leave(now, now + m_settings.shutdownTimeout - ShutdownMargin);
+    m_sync.storeWriter().leave();
     record("leave", {{"open_requests", std::to_string(m_dispatcher.open())}});
 }
 
@@ -167,74 +166,74 @@
     return !m_leavingSince && m_dispatcher.routes() && m_sync.isKnown();
 }
 
-std::vector<std::string> EdgeNode::callerAddresses(std::size_t most)
+std::vector<std::string> EdgeNode::callerAddresses(std::size_t maxCount)
 {
-    return m_roster.callerAddresses(present(), most, m_random());
+    return m_roster.callerAddresses(present(), maxCount, m_random());
 }
 
-StateSync::Wiring EdgeNode::wiringOf(EdgeNode &node, const StoreLayout &layout)
+StateSync::Dependencies EdgeNode::syncDependencies(EdgeNode &node, const StoreLayout &layout)
 {
-    StateSync::Wiring wiring;
-    wiring.self = entryOf(node.m_settings);
-    wiring.record = [&node](const std::string &kind, const std::string &detail) {
+    StateSync::Dependencies dependencies;
+    dependencies.self = makeNodeEntry(node.m_settings);
+    dependencies.record = [&node](const std::string &kind, const std::string &detail) {
         node.record(kind, {{"detail", detail}});
     };
-    wiring.records = {layout.nodesPrefix + node.m_settings.node.text(), layout.leaderKey,
-                      layout.recordKey, layout.crashesPrefix, wiring.record};
-    wiring.mostCopyAge = mostCopyAge(node.m_settings);
-    wiring.changed = [&node](const std::string &key, const StoredItem *item) {
-        node.storeChanged(key, item);
+    dependencies.storeWriter = {layout.nodesPrefix + node.m_settings.node.text(), layout.leaderKey,
+                                layout.recordKey, layout.crashesPrefix, dependencies.record};
+    dependencies.maxCopyAge = maxCopyAge(node.m_settings);
+    dependencies.itemChanged = [&node](const std::string &key, const StoredItem *item) {
+        node.handleStoreChange(key, item);
     };
-    wiring.roster = [&node]() -> const NodeRoster & {
+    dependencies.roster = [&node]() -> const NodeRoster & {
         node.m_roster.forgetVanished(present());
         return node.m_roster;
     };
-    wiring.seeds = [&node] {
+    dependencies.seeds = [&node] {
         return node.seeds();
     };
-    wiring.isSeed = [&node] {
+    dependencies.isSeed = [&node] {
         return std::ranges::find(node.m_settings.peers, node.m_settings.control)
             != node.m_settings.peers.end();
     };
-    wiring.isReliedOn = [&node] {
+    dependencies.needsShortLease = [&node] {
         return node.m_scheduler && node.m_scheduler->name == node.m_settings.node;
     };
-    wiring.linkBytesPerSecond = node.m_settings.linkBytesPerSecond;
-    wiring.answerPeer = [&node](ExchangeNumber exchange, const std::string &body) {
+    dependencies.linkBytesPerSecond = node.m_settings.linkBytesPerSecond;
+    dependencies.replyToPeer = [&node](ExchangeNumber exchange, const std::string &body) {
         constexpr int Ok = 200;
         constexpr int ServiceUnavailable = 503;
         node.m_control.reply(exchange, body.empty() ? ServiceUnavailable : Ok,
                              {{"Content-Type", "application/octet-stream"}}, body);
     };
-    return wiring;
+    return dependencies;
 }
 
-SchedulingExchange::Wiring EdgeNode::schedulingWiringOf(EdgeNode &node)
+SchedulingEndpoint::Dependencies EdgeNode::schedulingDependencies(EdgeNode &node)
 {
-    SchedulingExchange::Wiring wiring;
-    wiring.scheduler = [&node] {
+    SchedulingEndpoint::Dependencies dependencies;
+    dependencies.schedulerAddress = [&node] {
         return node.m_scheduler ? std::optional(node.m_scheduler->scheduling) : std::nullopt;
     };
-    wiring.view = [&node]() -> std::optional<scheduling::EngineScheduler::View> {
+    dependencies.view = [&node]() -> std::optional<scheduling::EngineScheduler::View> {
         const RouteTable *routes = node.m_dispatcher.routes();
         if (!routes) {
             return std::nullopt;
         }
         return scheduling::EngineScheduler::View {node.m_dispatcher.servers(), *routes};
     };
-    wiring.nodes = [&node] {
+    dependencies.nodeCount = [&node] {
         return node.m_roster.count(present());
     };
-    wiring.answered = [&node](const dispatch::DispatchEvent &answer) {
+    dependencies.deliver = [&node](const dispatch::DispatchEvent &answer) {
         node.m_relay.post(answer);
     };
-    wiring.record = [&node](const std::string &kind, const std::string &detail) {
+    dependencies.record = [&node](const std::string &kind, const std::string &detail) {
         node.record(kind, {{"detail", detail}});
     };
-    return wiring;
+    return dependencies;
 }
 
-void EdgeNode::chooseScheduler(TimePoint now)
+void EdgeNode::updateScheduler(TimePoint now)
 {
     m_roster.forgetVanished(now);
     auto chosen =
@@ -249,25 +248,25 @@
     m_dispatcher.setScheduler(m_scheduler ? std::optional(m_scheduler->name) : std::nullopt);
 }
 
-void EdgeNode::storeChanged(const std::string &key, const StoredItem *item)
+void EdgeNode::handleStoreChange(const std::string &key, const StoredItem *item)
 {
     if (key == m_ports.layout.routingKey) {
         if (item) {
-            routingChanged(item->value);
+            applyRouting(item->value);
         }
     } else if (key.starts_with(m_ports.layout.serversPrefix)) {
-        serverChanged(key, item ? &item->value : nullptr);
+        applyServerChange(key, item ? &item->value : nullptr);
     } else if (key.starts_with(m_ports.layout.nodesPrefix)) {
-        nodeChanged(key, item);
+        applyNodeChange(key, item);
     } else if (const auto note = crashNoteIn(m_ports.layout.crashesPrefix, key)) {
+        // An expired note needs no handling: the node's own crash records expire as early.
         if (item) {
-            crashRecorded(*note, item->revision);
+            applyCrashNote(*note, item->revision);
         }
-        // An item that goes with its lease is as old as what this node forgets by itself.
     }
 }
 
-void EdgeNode::crashRecorded(const CrashNote &note, std::uint64_t revision)
+void EdgeNode::applyCrashNote(const CrashNote &note, std::uint64_t revision)
 {
     if (!m_dispatcher.crashRecorded(note, revision, present())) {
         return;
@@ -279,7 +278,7 @@
             {"revision", std::to_string(revision)}});
 }
 
-void EdgeNode::routingChanged(const std::string &value)
+void EdgeNode::applyRouting(const std::string &value)
 {
     auto decoded = m_ports.codec->decodeRouting(value);
     if (const auto *fault = std::get_if<DecodeFault>(&decoded)) {
@@ -293,17 +292,17 @@
             {"before", old ? std::to_string(old->version()) : "none"},
             {"routes", std::to_string(state.routes.size())},
             {"organisations", std::to_string(state.organisations.size())}});
-    recordOrganisations(state, old);
+    recordOrganisationChanges(state, old);
     m_relay.setLimits(state.limits);
     m_dispatcher.setRoutes(std::make_shared<const RouteTable>(std::move(state)));
 }
 
-void EdgeNode::recordOrganisations(const RoutingState &state, const RouteTable *old)
+void EdgeNode::recordOrganisationChanges(const RoutingState &state, const RouteTable *old)
 {
     for (const Organisation &one : state.organisations) {
         const Organisation *before = old ? old->organisation(one.name) : nullptr;
         if (!before || *before == one) {
-            continue; // A first copy is told by how many there are.
+            continue; // The "routing" line counts the organisations of the first copy.
         }
         record("organisation",
                {{"organisation", one.name.text()},
@@ -315,7 +314,7 @@
     }
 }
 
-void EdgeNode::serverChanged(const std::string &key, const std::string *value)
+void EdgeNode::applyServerChange(const std::string &key, const std::string *value)
 {
     const std::string instance = key.substr(m_ports.layout.serversPrefix.size());
     const ServerName known = m_dispatcher.servers().nameOf(instance);
@@ -326,7 +325,7 @@
     }
     auto decoded = m_ports.codec->decodeServer(instance, *value);
     if (const auto *fault = std::get_if<DecodeFault>(&decoded)) {
-        // Written by something else than that server: it names none that requests may go to.
+        // An unreadable item gives no address to send requests to.
         m_dispatcher.remove(known);
         record("server_unreadable",
                {{"instance", instance}, {"before", known.text()}, {"fault", fault->what}});
@@ -345,7 +344,7 @@
     m_dispatcher.announce(std::move(server));
 }
 
-void EdgeNode::nodeChanged(const std::string &key, const StoredItem *item)
+void EdgeNode::applyNodeChange(const std::string &key, const StoredItem *item)
 {
     if (!item) {
         m_roster.withdraw(key, present());
@@ -380,29 +379,29 @@
 {
     constexpr int NotFound = 404;
     if (request.path == "/v1/mirror") {
-        m_sync.takePeerQuestion(request.exchange,
-                                std::strtoull(request.parameter("after").c_str(), nullptr, 10),
-                                request.parameter("from"));
+        m_sync.handlePeerPoll(request.exchange,
+                              std::strtoull(request.parameter("after").c_str(), nullptr, 10),
+                              request.parameter("from"));
     } else {
         m_control.reply(request.exchange, NotFound, {}, "");
     }
 }
 
-void EdgeNode::expose(const HttpRequest &request)
+void EdgeNode::handleMetrics(const HttpRequest &request)
 {
     constexpr int Ok = 200;
     constexpr int NotFound = 404;
     if (request.path != "/metrics") {
-        m_exposition.reply(request.exchange, NotFound, {}, "");
+        m_metricsServer.reply(request.exchange, NotFound, {}, "");
         return;
     }
-    m_exposition.reply(request.exchange, Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
-                       metricsText());
+    m_metricsServer.reply(request.exchange, Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
+                          metricsText());
 }
 
 std::string EdgeNode::metricsText() const
 {
-    return m_metrics.text({
+    return m_metrics.prometheusText({
         {"requests_open", m_dispatcher.open()},
         {"requests_waiting", m_dispatcher.waiting()},
         {"caller_connections", m_relay.callers().connections()},
@@ -411,12 +410,12 @@
         {"log_lines_dropped", m_log.dropped()},
         {"routing_version", m_dispatcher.routes() ? m_dispatcher.routes()->version() : 0},
         {"store_revision", m_sync.asOf()},
-        {"store_lists", m_sync.storeCalls().lists},
-        {"store_watches", m_sync.storeCalls().watches},
-        {"store_leases", m_sync.storeCalls().leases},
-        {"store_renewals", m_sync.storeCalls().renewals},
-        {"store_writes", m_sync.storeCalls().writes},
-        {"store_proofs", m_sync.storeCalls().proofs},
+        {"store_lists", m_sync.storeCallCounts().lists},
+        {"store_watches", m_sync.storeCallCounts().watches},
+        {"store_leases", m_sync.storeCallCounts().leases},
+        {"store_renewals", m_sync.storeCallCounts().renewals},
+        {"store_writes", m_sync.storeCallCounts().writes},
+        {"store_proofs", m_sync.storeCallCounts().proofs},
         {"servers_known", m_dispatcher.servers().size()},
         {"nodes_known", m_roster.count(present())},
         {"scheduler_waiting", m_scheduling.scheduler().waiting()},
@@ -435,59 +434,59 @@
 {
     const TimePoint now = present();
     recordFirstCopy();
-    noteCopyAge();
-    noticeFreeze(now);
-    chooseScheduler(now);
-    m_dispatcher.setOrderRight(m_sync.records().holdsOrderRight());
+    recordCopyFreshness();
+    detectSuspension(now);
+    updateScheduler(now);
+    m_dispatcher.setOrderRight(m_sync.storeWriter().holdsOrderRight());
     if (m_dispatcher.wantsOrderToken()) {
-        m_sync.records().prepareOrders();
+        m_sync.storeWriter().prepareOrders();
     }
-    m_dispatcher.setOrderToken(m_sync.records().orderToken(now));
+    m_dispatcher.setOrderToken(m_sync.storeWriter().orderToken(now));
     if (m_sync.isKnown()) {
         m_dispatcher.setNodes(m_roster.count(now), now);
     }
     m_relay.wake();
-    recordStoreCalls(now);
-    endIfDone(now);
+    recordStoreCallCounts(now);
+    stopWhenDrained(now);
 }
 
 void EdgeNode::recordFirstCopy()
 {
-    if (m_hasCopy || !m_sync.isKnown()) {
+    if (m_hasFirstCopy || !m_sync.isKnown()) {
         return;
     }
-    m_hasCopy = true;
+    m_hasFirstCopy = true;
     record("first_copy",
            {{"as_of", std::to_string(m_sync.asOf())},
             {"nodes", std::to_string(m_roster.members().size())},
             {"servers", std::to_string(m_dispatcher.servers().size())}});
 }
 
-void EdgeNode::noteCopyAge()
+void EdgeNode::recordCopyFreshness()
 {
-    const auto most = mostCopyAge(m_settings);
-    if (!most) {
+    const auto maxAge = maxCopyAge(m_settings);
+    if (!maxAge) {
         return;
     }
     const auto age = m_sync.copyAge(BootClock::now());
-    const bool isProven = isNewEnough(age, most);
-    if (isProven == m_isCopyProven) {
+    const bool isFresh = isNewEnough(age, maxAge);
+    if (isFresh == m_isCopyFresh) {
         return;
     }
-    m_isCopyProven = isProven;
-    record(isProven ? "copy_proven" : "copy_too_old",
+    m_isCopyFresh = isFresh;
+    record(isFresh ? "copy_proven" : "copy_too_old",
            {{"age_ms", age ? dispatch::millisecondsText(*age) : "-"},
-            {"most_ms", dispatch::millisecondsText(*most)},
+            {"most_ms", dispatch::millisecondsText(*maxAge)},
             {"as_of", std::to_string(m_sync.asOf())}});
 }
 
-void EdgeNode::recordStoreCalls(TimePoint now)
+void EdgeNode::recordStoreCallCounts(TimePoint now)
 {
-    if (now < m_storeCallsRecordedAt + RecordStoreCallsEvery) {
+    if (now < m_storeCallsLoggedAt + StoreCallsLogInterval) {
         return;
     }
-    m_storeCallsRecordedAt = now;
-    const StoreCalls &calls = m_sync.storeCalls();
+    m_storeCallsLoggedAt = now;
+    const StoreCallCounts &calls = m_sync.storeCallCounts();
     record("store_calls",
            {{"lists", std::to_string(calls.lists)},
             {"watches", std::to_string(calls.watches)},
@@ -497,29 +496,29 @@
             {"proofs", std::to_string(calls.proofs)}});
 }
 
-void EdgeNode::noticeFreeze(TimePoint now)
+void EdgeNode::detectSuspension(TimePoint now)
 {
-    // A suspended VM's steady clock stands still with it, a stopped process's goes on; the first
-    // shows against the clock that counts suspension, the second in a look that comes late.
-    const Duration frozen = frozenTime();
+    // The steady clock does not advance while the VM is suspended, but does while the process is
+    // stopped: the first shows as a difference to the boot clock, the second as a late tick.
+    const Duration suspended = suspendedTime();
     const Duration late = m_lastTick == TimePoint {} ? Duration(0) : now - m_lastTick;
-    const Duration stoodStill = std::max(frozen - m_frozen, late - LateTick);
-    if (stoodStill > FreezeNoticed) {
-        record("woke", {{"stood_still_ms", dispatch::millisecondsText(stoodStill)}});
-        m_sync.stoodStill(now);
+    const Duration pause = std::max(suspended - m_suspendedTime, late - MaxTickDelay);
+    if (pause > MinReportedSuspension) {
+        record("woke", {{"stood_still_ms", dispatch::millisecondsText(pause)}});
+        m_sync.handleSuspension(now);
     }
-    m_frozen = frozen;
+    m_suspendedTime = suspended;
     m_lastTick = now;
 }
 
-void EdgeNode::endIfDone(TimePoint now)
+void EdgeNode::stopWhenDrained(TimePoint now)
 {
     if (!m_leavingSince) {
         return;
     }
     const bool isDone = m_relay.callers().openRequests() == 0;
-    const bool isTimeUp = now > *m_leavingSince + m_settings.endsWithin - EndMargin;
-    if ((isDone && now > *m_leavingSince + LeaveAtLeast) || isTimeUp) {
+    const bool isTimeUp = now > *m_leavingSince + m_settings.shutdownTimeout - ShutdownMargin;
+    if ((isDone && now > *m_leavingSince + MinLeaveTime) || isTimeUp) {
         record("stop", {{"open_requests", std::to_string(m_dispatcher.open())}});
         event_base_loopbreak(m_base);
     }
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "dispatch/dispatcher.h"
-#include "edge/decisionlog.h"
 #include "edge/edgemetrics.h"
 #include "edge/edgesettings.h"
-#include "edge/schedulingexchange.h"
+#include "edge/schedulingendpoint.h"
 #include "edge/statecodec.h"
 #include "edge/statesync.h"
+#include "edge/structuredlog.h"
 #include "fleet/noderoster.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
@@ -22,7 +22,7 @@
 
 namespace indigoway {
 
-/** What binds a node to the platform it runs on. */
+/** The platform-specific parts of a node. */
 struct EdgePorts
 {
     const Dialect *dialect = nullptr;
@@ -31,7 +31,7 @@
     StoreLayout layout;
 };
 
-/** One entry VM's process: wires the dispatcher, the sockets, the store and the other nodes. */
+/** The process of one entry VM: connects the dispatcher, the sockets, the store and the peers. */
 class EdgeNode
 {
 public:
@@ -39,78 +39,89 @@
     EdgeNode(const EdgeNode &) = delete;
     EdgeNode &operator=(const EdgeNode &) = delete;
 
-    /** False if an address cannot be listened on. */
+    /**
+     * Binds all addresses and starts the node.
+     * @return false if an address cannot be bound.
+     */
     bool start();
-    /** SIGTERM: no new callers; ends the loop when all is answered or time is up. */
+    /**
+     * Starts a graceful shutdown: asks new callers to use other nodes, and ends the event loop
+     * when all open requests are answered or the shutdown timeout has passed.
+     */
     void leave();
-    /** Settings that may change while the node runs are taken over. */
+    /** Applies the settings that can change at run time. */
     void reload(const EdgeSettings &settings);
 
-    void recordFault(const std::string &kind, const std::string &what)
+    void recordFault(const std::string &kind, const std::string &fault)
     {
-        record(kind, {{"fault", what}});
+        record(kind, {{"fault", fault}});
     }
-    void recordListening(const std::string &what, const std::string &address)
+    void recordListening(const std::string &purpose, const std::string &address)
     {
-        record("listening", {{"for", what}, {"address", address}});
+        record("listening", {{"for", purpose}, {"address", address}});
     }
 
-    /** Whether new callers should be sent here. */
+    /** Returns whether new callers should be sent to this node. */
     bool isReady() const;
-    std::vector<std::string> callerAddresses(std::size_t most);
+    /** Returns at most @p maxCount addresses of nodes that serve callers. */
+    std::vector<std::string> callerAddresses(std::size_t maxCount);
+    /** Returns how long callers may cache a list of nodes. */
     Duration listKept() const { return m_settings.listKept; }
 
 private:
-    static StateSync::Wiring wiringOf(EdgeNode &node, const StoreLayout &layout);
-    static SchedulingExchange::Wiring schedulingWiringOf(EdgeNode &node);
-    void chooseScheduler(TimePoint now);
-    void storeChanged(const std::string &key, const StoredItem *item);
-    void routingChanged(const std::string &value);
-    /** A line for each organisation that is declared otherwise than before. */
-    void recordOrganisations(const RoutingState &state, const RouteTable *old);
-    void serverChanged(const std::string &key, const std::string *value);
-    void crashRecorded(const CrashNote &note, std::uint64_t revision);
-    void nodeChanged(const std::string &key, const StoredItem *item);
+    static StateSync::Dependencies syncDependencies(EdgeNode &node, const StoreLayout &layout);
+    static SchedulingEndpoint::Dependencies schedulingDependencies(EdgeNode &node);
+    void updateScheduler(TimePoint now);
+    void handleStoreChange(const std::string &key, const StoredItem *item);
+    void applyRouting(const std::string &value);
+    /** Logs a line for each organisation whose declaration differs from the one in @p old. */
+    void recordOrganisationChanges(const RoutingState &state, const RouteTable *old);
+    void applyServerChange(const std::string &key, const std::string *value);
+    void applyCrashNote(const CrashNote &note, std::uint64_t revision);
+    void applyNodeChange(const std::string &key, const StoredItem *item);
     std::vector<std::string> seeds() const;
     void handleControl(const HttpRequest &request);
-    /** Listens on an address; where that is, if it can. */
-    using Listen = std::function<std::optional<std::string>(const std::string &address)>;
+    /** Binds an address; returns the bound one, or nothing on failure. */
+    using Binder = std::function<std::optional<std::string>(const std::string &address)>;
 
-    bool listenOn(std::string &address, const Listen &listen);
-    void expose(const HttpRequest &request);
+    /** Binds @p address and replaces it by the bound one; returns false on failure. */
+    bool listenOn(std::string &address, const Binder &bind);
+    void handleMetrics(const HttpRequest &request);
     std::string metricsText() const;
     void tick();
-    void noticeFreeze(TimePoint now);
-    /** One line for all that a node learns at its start; a line for each change after it. */
+    /** Detects that the VM was suspended or the process stopped since the last tick. */
+    void detectSuspension(TimePoint now);
+    /** Logs one line when the first copy of the store is complete. */
     void recordFirstCopy();
-    /** A line when this node begins and ceases to know whose keys are good. */
-    void noteCopyAge();
-    void recordStoreCalls(TimePoint now);
-    void endIfDone(TimePoint now);
+    /** Logs a line when the copy of the store becomes fresh enough to check API keys, or too old.
+     */
+    void recordCopyFreshness();
+    void recordStoreCallCounts(TimePoint now);
+    void stopWhenDrained(TimePoint now);
     void record(const std::string &kind, const std::vector<LogField> &fields);
 
     event_base *m_base;
     EdgeSettings m_settings;
     EdgePorts m_ports;
-    Incarnation m_life;
-    DecisionLog m_log;
+    Incarnation m_incarnation;
+    StructuredLog m_log;
     EdgeMetrics m_metrics;
     NodeRoster m_roster;
     dispatch::Dispatcher m_dispatcher;
     RequestRelay m_relay;
     StateSync m_sync;
-    SchedulingExchange m_scheduling;
+    SchedulingEndpoint m_scheduling;
     HttpServer m_control;
-    HttpServer m_exposition;
+    HttpServer m_metricsServer;
     EventHandle m_timer;
     std::mt19937_64 m_random;
     std::optional<NodeEntry> m_scheduler; ///< The node that schedules the engines.
     std::optional<TimePoint> m_leavingSince;
-    bool m_hasCopy = false; ///< Of the store; changes are told one by one from then on.
-    bool m_isCopyProven = false;
-    TimePoint m_storeCallsRecordedAt {};
+    bool m_hasFirstCopy = false;
+    bool m_isCopyFresh = false;
+    TimePoint m_storeCallsLoggedAt {};
     TimePoint m_lastTick {};
-    Duration m_frozen {}; ///< Time that the steady clock did not count, as last seen.
+    Duration m_suspendedTime {}; ///< Total suspended time of the VM at the last tick.
 };
 
 } // namespace indigoway
--- a/src/edge/edgeprocess.cpp
+++ b/src/edge/edgeprocess.cpp
@@ -17,10 +17,9 @@
 namespace {
 
 constexpr int UsageError = 2;
-/** A settings file may change without a signal. */
-constexpr timeval LookAtFileEvery {2, 0};
+constexpr timeval FilePollInterval {2, 0};
 
-std::string fileText(const std::string &path)
+std::string readFile(const std::string &path)
 {
     std::ifstream file(path);
     std::ostringstream text;
@@ -28,9 +27,9 @@
     return text.str();
 }
 
-[[noreturn]] void endWith(const CommandLineFaults &wrong)
+[[noreturn]] void exitWithFaults(const CommandLineFaults &invalid)
 {
-    for (const std::string &fault : wrong.faults) {
+    for (const std::string &fault : invalid.faults) {
         std::fprintf(stderr, "%s\n", fault.c_str());
     }
     std::fprintf(stderr, "--help lists the settings\n");
@@ -45,15 +44,15 @@
     parseOrExit(flags, argc, argv);
     const std::string path = absl::GetFlag(FLAGS_node_file);
     if (!path.empty()) {
-        const CommandLineFaults wrong = flags.parseFile(fileText(path), path);
-        if (!wrong.faults.empty()) {
-            endWith(wrong);
+        const CommandLineFaults invalid = flags.parseFile(readFile(path), path);
+        if (!invalid.faults.empty()) {
+            exitWithFaults(invalid);
         }
-        parseOrExit(flags, argc, argv); // The command line goes before the file.
+        parseOrExit(flags, argc, argv); // The command line overrides the file.
     }
     auto checked = checkedEdgeSettings();
-    if (const auto *wrong = std::get_if<CommandLineFaults>(&checked)) {
-        endWith(*wrong);
+    if (const auto *invalid = std::get_if<CommandLineFaults>(&checked)) {
+        exitWithFaults(*invalid);
     }
     return std::get<EdgeSettings>(checked);
 }
@@ -85,15 +84,15 @@
     }
     const std::string path = absl::GetFlag(FLAGS_node_file);
     if (!path.empty()) {
-        m_fileText = fileText(path);
-        event_add(m_fileTimer.get(), &LookAtFileEvery);
+        m_settingsText = readFile(path);
+        event_add(m_fileTimer.get(), &FilePollInterval);
     }
     event_base_dispatch(m_base.get());
     m_node = nullptr;
     return 0;
 }
 
-void EdgeProcess::handleSignal(int signal, short /*what*/, void *process)
+void EdgeProcess::handleSignal(int signal, short /*events*/, void *process)
 {
     auto &self = *static_cast<EdgeProcess *>(process);
     if (!self.m_node) {
@@ -106,16 +105,16 @@
     }
 }
 
-void EdgeProcess::reloadIfChanged(bool isAsked)
+void EdgeProcess::reloadIfChanged(bool isForced)
 {
     const std::string path = absl::GetFlag(FLAGS_node_file);
-    std::string text = path.empty() ? std::string() : fileText(path);
-    if (text.empty() || (text == m_fileText && !isAsked)) {
+    std::string text = path.empty() ? std::string() : readFile(path);
+    if (text.empty() || (text == m_settingsText && !isForced)) {
         return;
     }
-    m_fileText = std::move(text);
-    const CommandLineFaults wrong = edgeFlags().parseFile(m_fileText, path);
-    for (const std::string &fault : wrong.faults) {
+    m_settingsText = std::move(text);
+    const CommandLineFaults invalid = edgeFlags().parseFile(m_settingsText, path);
+    for (const std::string &fault : invalid.faults) {
         m_node->recordFault("settings_unreadable", fault);
     }
     const auto checked = checkedEdgeSettings();
--- a/src/edge/edgeprocess.h
+++ b/src/edge/edgeprocess.h
@@ -11,14 +11,17 @@
 
 namespace indigoway {
 
-/** Reads flags, environment and the settings file, or ends the process with all faults listed. */
+/**
+ * Reads the settings from the environment, the settings file and the command line. If any is
+ * invalid, prints all faults to standard error and exits.
+ */
 EdgeSettings edgeSettingsOrExit(int argc, char **argv);
 
-/** The event loop of one node's process, and its signals. */
+/** The event loop of one node's process, with its signal handlers and settings file. */
 class EdgeProcess
 {
 public:
-    static constexpr int ListenFailed = 1;
+    static constexpr int ListenFailed = 1; ///< Exit code.
 
     EdgeProcess();
     EdgeProcess(const EdgeProcess &) = delete;
@@ -26,12 +29,16 @@
 
     event_base *base() { return m_base.get(); }
     HttpClient &client() { return m_client; }
-    /** Runs @p node until it has left; the process's exit code. */
+    /**
+     * Runs @p node until it has left.
+     * @return the exit code of the process.
+     */
     int run(EdgeNode &node);
 
 private:
-    static void handleSignal(int signal, short what, void *process);
-    void reloadIfChanged(bool isAsked);
+    static void handleSignal(int signal, short events, void *process);
+    /** Reloads the settings file if its text has changed, or in any case if @p isForced. */
+    void reloadIfChanged(bool isForced);
 
     EventBase m_base;
     HttpClient m_client;
@@ -39,7 +46,7 @@
     EventHandle m_interrupt;
     EventHandle m_hangUp;
     EventHandle m_fileTimer;
-    std::string m_fileText;
+    std::string m_settingsText;
     EdgeNode *m_node = nullptr;
 };
 
--- a/src/edge/edgesettings.h
+++ b/src/edge/edgesettings.h
@@ -11,38 +11,38 @@
 
 namespace indigoway {
 
-/** Settings of a node whose desired state and servers come from a shared key-value service. */
+/** Settings of a node that reads the desired state and the servers from a key-value service. */
 struct EdgeSettings
 {
     NodeName node;
     DomainName domain;
-    std::string callers;           ///< Address for callers' requests.
-    std::string readiness;         ///< Address that tells whether this node wants callers.
-    std::string directory;         ///< Address that tells callers which nodes to use.
-    std::string control;           ///< Address for the other nodes.
-    std::string metrics;           ///< Address for metrics; empty: none.
-    std::string scheduling;        ///< Address (UDP) for claims on engines; empty: takes none.
-    double processors = 0;         ///< This VM's share of processor time, in processors.
-    double linkBytesPerSecond = 0; ///< Of this VM's link.
-    std::string store;
+    std::string callers;            ///< Address for callers' requests.
+    std::string readiness;          ///< Address of the readiness check.
+    std::string directory;          ///< Address at which callers look up the nodes.
+    std::string control;            ///< Address for the other nodes.
+    std::string metrics;            ///< Address for metrics; empty: not served.
+    std::string scheduling;         ///< UDP address for claims on engines; empty: not served.
+    double processors = 0;          ///< Processors that this VM has; may be fractional.
+    double linkBytesPerSecond = 0;  ///< Bandwidth of this VM's network link.
+    std::string store;              ///< Address of the key-value service.
     std::vector<std::string> peers; ///< Control addresses of some other nodes; may be stale.
-    Duration endsWithin {};         ///< From SIGTERM until the process must be gone.
-    double retryRatio = 0;
+    Duration shutdownTimeout {};    ///< From SIGTERM to the process's exit.
+    double retryRatio = 0;          ///< Retries per request in a window.
     Duration retryWindow {};
-    std::uint32_t retrySlack = 0;
-    /** Callers' keys are judged by no older copy of the desired state; 0: by any. */
-    Duration keyCopyAge {};
-    // By how much an organisation's quota may be passed.
+    std::uint32_t retrySlack = 0; ///< Retries of all nodes per window beyond the ratio.
+    /** Age limit of the copy of the desired state that API keys are checked by; 0: no limit. */
+    Duration maxKeyCopyAge {};
+    // Bounds on how far an organisation may exceed its quota.
     Duration quotaWindow {};
-    double quotaOver = 0;  ///< Of what it allows in a window.
-    double quotaSlack = 0; ///< In its own units.
-    Duration listKept {};  ///< How long callers may keep a list of nodes.
+    double quotaOverRatio = 0; ///< Excess per window as a fraction of the quota.
+    double quotaSlack = 0;     ///< Further excess per window, in units of the quota.
+    Duration listKept {};      ///< How long callers may cache a list of nodes.
     bool operator==(const EdgeSettings &) const = default;
 };
 
 FlagSet edgeFlags();
 
-/** Reads the flags; all faults of all settings at once. */
+/** Returns the settings from the flags, or the faults of all of them. */
 std::variant<EdgeSettings, CommandLineFaults> checkedEdgeSettings();
 
 } // namespace indigoway
--- a/src/edge/mirrorexchange.cpp
+++ b/src/edge/mirrorexchange.cpp
@@ -12,16 +12,22 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-/** Other versions are not read. */
 constexpr std::uint32_t Version = 1;
 constexpr int CompressionLevel = 1;
-/** Unpacked; guards against a block that claims to be larger than a node's memory. */
-constexpr unsigned long long MostUnpackedBytes = 64ULL * 1024 * 1024;
+/** Guards against a block that declares an uncompressed size larger than a node's memory. */
+constexpr unsigned long long MaxUnpackedBytes = 64ULL * 1024 * 1024;
 
-// Members of the arrays, by their place.
+// Indices of the members in the arrays.
 enum BlockMember : std::uint32_t { BlockVersion, After, AsOf, IsWhole, Changes, BlockMembers };
 enum ChangeMember : std::uint32_t { Key, Revision, Value, Created, ChangeMembers };
-enum AnswerMember : std::uint32_t { AnswerVersion, Age, Held, Blocks, Elsewhere, AnswerMembers };
+enum ResponseMember : std::uint32_t {
+    ResponseVersion,
+    Age,
+    HeldFor,
+    Blocks,
+    AlternativePeers,
+    ResponseMembers
+};
 
 void packBytes(Packer &packer, std::string_view bytes)
 {
@@ -42,7 +48,7 @@
     packer.pack(change.created);
 }
 
-std::string compressed(std::string_view text)
+std::string compress(std::string_view text)
 {
     std::string bytes(ZSTD_compressBound(text.size()), '\0');
     bytes.resize(
@@ -50,10 +56,10 @@
     return bytes;
 }
 
-std::optional<std::string> decompressed(std::string_view bytes)
+std::optional<std::string> decompress(std::string_view bytes)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-    if (size > MostUnpackedBytes) { // Above any size, too, where it is not known.
+    if (size > MaxUnpackedBytes) { // The values for an unknown size and an error are larger, too.
         return std::nullopt;
     }
     std::string text(size, '\0');
@@ -64,15 +70,15 @@
     return text;
 }
 
-/** Nothing if @p object is no array of @p least members or more. */
-const msgpack::object *membersOf(const msgpack::object &object, std::uint32_t least)
+/** Returns the members of an array; null if @p object is none of at least @p minCount members. */
+const msgpack::object *membersOf(const msgpack::object &object, std::uint32_t minCount)
 {
-    const bool isArray = object.type == msgpack::type::ARRAY && object.via.array.size >= least;
+    const bool isArray = object.type == msgpack::type::ARRAY && object.via.array.size >= minCount;
     return isArray ? object.via.array.ptr : nullptr;
 }
 
-/** Throws msgpack::type_error, as all readers below do, if it is none. */
-std::string bytesIn(const msgpack::object &object)
+/** Reads a byte string. Like the readers below, throws msgpack::type_error on any other type. */
+std::string readBytes(const msgpack::object &object)
 {
     if (object.type != msgpack::type::BIN) {
         throw msgpack::type_error();
@@ -81,7 +87,7 @@
 }
 
 template <typename Value, typename Read>
-std::vector<Value> listIn(const msgpack::object &object, const Read &read)
+std::vector<Value> readList(const msgpack::object &object, const Read &read)
 {
     if (object.type != msgpack::type::ARRAY) {
         throw msgpack::type_error();
@@ -94,23 +100,23 @@
     return list;
 }
 
-StoredChange changeIn(const msgpack::object &object)
+StoredChange readChange(const msgpack::object &object)
 {
     const msgpack::object *members = membersOf(object, ChangeMembers);
     if (!members) {
         throw msgpack::type_error();
     }
     StoredChange change;
-    change.key = bytesIn(members[Key]);
+    change.key = readBytes(members[Key]);
     change.revision = members[Revision].as<std::uint64_t>();
     if (!members[Value].is_nil()) {
-        change.value = bytesIn(members[Value]);
+        change.value = readBytes(members[Value]);
     }
     change.created = members[Created].as<std::uint64_t>();
     return change;
 }
 
-bool isUsable(const MirrorNews &news)
+bool isValid(const MirrorNews &news)
 {
     for (const StoredChange &change : news.changes) {
         if (change.key.empty() || (news.isWhole && !change.value)) {
@@ -120,13 +126,13 @@
     return true;
 }
 
-/** Reads with @p read what is packed in @p text; nothing if it is not that. */
+/** Unpacks an array of this version and applies @p read to it; nothing if it is malformed. */
 template <typename Result, typename Read>
-std::optional<Result> unpacked(std::string_view text, std::uint32_t leastMembers, const Read &read)
+std::optional<Result> unpackMembers(std::string_view text, std::uint32_t minCount, const Read &read)
 {
     try {
         const auto handle = msgpack::unpack(text.data(), text.size());
-        const msgpack::object *members = membersOf(handle.get(), leastMembers);
+        const msgpack::object *members = membersOf(handle.get(), minCount);
         if (!members || members[0].as<std::uint32_t>() != Version) {
             return std::nullopt;
         }
@@ -138,7 +144,7 @@
     }
 }
 
-std::string_view textOf(const msgpack::sbuffer &buffer)
+std::string_view viewOf(const msgpack::sbuffer &buffer)
 {
     return {buffer.data(), buffer.size()};
 }
@@ -159,56 +165,57 @@
         packChange(packer, change);
     }
     return {news.after, news.asOf, news.isWhole,
-            std::make_shared<const std::string>(compressed(textOf(buffer)))};
+            std::make_shared<const std::string>(compress(viewOf(buffer)))};
 }
 
 std::optional<MirrorNews> decodeNews(const std::string &bytes)
 {
-    const auto text = decompressed(bytes);
+    const auto text = decompress(bytes);
     if (!text) {
         return std::nullopt;
     }
-    auto news = unpacked<MirrorNews>(*text, BlockMembers, [](const msgpack::object *members) {
+    auto news = unpackMembers<MirrorNews>(*text, BlockMembers, [](const msgpack::object *members) {
         return MirrorNews {members[After].as<std::uint64_t>(), members[AsOf].as<std::uint64_t>(),
                            members[IsWhole].as<bool>(),
-                           listIn<StoredChange>(members[Changes], changeIn)};
+                           readList<StoredChange>(members[Changes], readChange)};
     });
-    return news && isUsable(*news) ? std::move(news) : std::nullopt;
+    return news && isValid(*news) ? std::move(news) : std::nullopt;
 }
 
-std::string encodeAnswer(const MirrorAnswer &answer)
+std::string encodeResponse(const MirrorResponse &response)
 {
     msgpack::sbuffer buffer;
     Packer packer(buffer);
-    packer.pack_array(AnswerMembers);
+    packer.pack_array(ResponseMembers);
     packer.pack(Version);
-    if (answer.age) {
-        packer.pack(std::int64_t {answer.age->count()});
+    if (response.age) {
+        packer.pack(std::int64_t {response.age->count()});
     } else {
         packer.pack_nil();
     }
-    packer.pack(std::int64_t {answer.held.count()});
-    for (const auto *list : {&answer.blocks, &answer.elsewhere}) {
+    packer.pack(std::int64_t {response.held.count()});
+    for (const auto *list : {&response.blocks, &response.alternativePeers}) {
         packer.pack_array(static_cast<std::uint32_t>(list->size()));
         for (const std::string &one : *list) {
             packBytes(packer, one);
         }
     }
-    return std::string(textOf(buffer));
+    return std::string(viewOf(buffer));
 }
 
-std::optional<MirrorAnswer> decodeAnswer(const std::string &bytes)
+std::optional<MirrorResponse> decodeResponse(const std::string &bytes)
 {
-    return unpacked<MirrorAnswer>(bytes, AnswerMembers, [](const msgpack::object *members) {
-        MirrorAnswer answer;
-        if (!members[Age].is_nil()) {
-            answer.age = Duration(members[Age].as<std::int64_t>());
-        }
-        answer.held = Duration(members[Held].as<std::int64_t>());
-        answer.blocks = listIn<std::string>(members[Blocks], bytesIn);
-        answer.elsewhere = listIn<std::string>(members[Elsewhere], bytesIn);
-        return answer;
-    });
+    return unpackMembers<MirrorResponse>(
+        bytes, ResponseMembers, [](const msgpack::object *members) {
+            MirrorResponse response;
+            if (!members[Age].is_nil()) {
+                response.age = Duration(members[Age].as<std::int64_t>());
+            }
+            response.held = Duration(members[HeldFor].as<std::int64_t>());
+            response.blocks = readList<std::string>(members[Blocks], readBytes);
+            response.alternativePeers = readList<std::string>(members[AlternativePeers], readBytes);
+            return response;
+        });
 }
 
 } // namespace indigoway
--- a/src/edge/mirrorexchange.h
+++ b/src/edge/mirrorexchange.h
@@ -9,28 +9,28 @@
 
 namespace indigoway {
 
-/** What a node that asked another one for news is answered. */
-struct MirrorAnswer
+/** The response to another node's long poll for changes of the mirror. */
+struct MirrorResponse
 {
-    /** In order; nothing new if it is empty. */
+    /** Encoded blocks of changes, in order; empty if there are no changes. */
     std::vector<std::string> blocks;
-    /** How old the copy was that has come to the last block; nothing: not known. */
+    /** Maximum age of a copy that has applied all blocks; nothing: unknown. */
     std::optional<Duration> age = {};
-    Duration held {}; ///< From the question until then.
-    /** Control addresses of nodes that may give a whole copy where this one is too busy to. */
-    std::vector<std::string> elsewhere = {};
+    Duration held {}; ///< Time from the arrival of the poll to the response.
+    /** Control addresses of nodes that may have a full copy, if this one is too busy to send it. */
+    std::vector<std::string> alternativePeers = {};
 };
 
 /**
- * One block of news: MessagePack, compressed with zstd. Members that a later version adds at the
- * end of an array are ignored.
+ * Encodes one block of changes as MessagePack compressed with zstd. Decoders ignore members that
+ * later versions append to an array.
  */
 NewsBlock encodeNews(const MirrorNews &news);
-/** Nothing if @p bytes are not that. */
+/** Decodes one block of changes; returns nothing if @p bytes are malformed. */
 std::optional<MirrorNews> decodeNews(const std::string &bytes);
 
-std::string encodeAnswer(const MirrorAnswer &answer);
-/** Nothing if @p bytes are not that. */
-std::optional<MirrorAnswer> decodeAnswer(const std::string &bytes);
+std::string encodeResponse(const MirrorResponse &response);
+/** Decodes a response; returns nothing if @p bytes are malformed. */
+std::optional<MirrorResponse> decodeResponse(const std::string &bytes);
 
 } // namespace indigoway
--- /dev/null
+++ b/src/edge/mirrorresponder.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include "edge/mirrorexchange.h"
+#include "http/httpserver.h"
+#include "store/copyproof.h"
+#include "store/copyturns.h"
+#include "store/mirror.h"
+#include "store/newslog.h"
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace indigoway {
+
+/** Answers the long polls of other nodes for changes of this node's mirror of the store. */
+class MirrorResponder
+{
+public:
+    struct Reply
+    {
+        ExchangeNumber exchange;
+        std::string body; ///< Empty: the polling node has to use another upstream.
+    };
+
+    /** @param maxHoldTime How long a poll is held if there are no changes. */
+    MirrorResponder(const Mirror &mirror, const CopyProof &proof, double linkBytesPerSecond,
+                    Duration maxHoldTime);
+
+    /** Adds a poll of the node at @p control for the changes after @p revision. */
+    void addPoll(ExchangeNumber exchange, std::uint64_t revision, const std::string &control,
+                 TimePoint now, BootTime arrivedAt);
+    void cancelPoll(ExchangeNumber exchange) { m_polls.erase(exchange); }
+    /** Adds a block received from another node, to be forwarded without encoding it again. */
+    void addPeerUpdate(NewsBlock block) { m_newsLog.add(std::move(block)); }
+    /** Adds the changes that @p mirror has received from the store. */
+    void addStoreUpdates(Mirror &mirror);
+    /**
+     * Removes the polls that can be answered now.
+     * @param isCurrent Whether this node receives the changes of the store.
+     * @param mayBecomeCurrent Whether it does, or may shortly: polls are held meanwhile.
+     * @return the replies to the removed polls.
+     */
+    std::vector<Reply> takeDueReplies(TimePoint now, BootTime bootNow, bool isCurrent,
+                                      bool mayBecomeCurrent);
+
+private:
+    struct LongPoll
+    {
+        std::uint64_t revision = 0;
+        TimePoint deadline {};
+        BootTime arrivedAt {};
+        std::string peer; ///< Control address of the polling node.
+    };
+
+    bool hasUpdateFor(const LongPoll &poll) const;
+    std::string buildResponse(const LongPoll &poll, TimePoint now, BootTime bootNow);
+    /** Remembers a node that has, or is about to have, a full copy. */
+    void rememberFollower(const std::string &control);
+
+    const Mirror &m_mirror;
+    const CopyProof &m_proof;
+    Duration m_maxHoldTime;
+    NewsLog m_newsLog;
+    CopyTurns m_copyTurns;
+    std::map<ExchangeNumber, LongPoll> m_polls;
+    std::deque<std::string> m_followers; ///< Control addresses, the latest last.
+};
+
+} // namespace indigoway
--- /dev/null
+++ b/src/edge/schedulingendpoint.cpp
@@ -0,0 +1,168 @@
+#include "schedulingendpoint.h"
+
+#include "core/jsontext.h"
+#include "dispatch/openrequests.h"
+
+#include <event2/event.h>
+
+namespace indigoway {
+
+namespace {
+
+using namespace scheduling;
+
+constexpr Duration StateLogInterval = std::chrono::seconds(1);
+
+TimePoint present()
+{
+    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
+}
+
+} // namespace
+
+SchedulingEndpoint::SchedulingEndpoint(event_base *base, NodeLife self, Dependencies dependencies)
+    : m_self(std::move(self))
+    , m_dependencies(std::move(dependencies))
+    , m_quotaKeeper(m_self.incarnation)
+    , m_socket(base,
+               [this](const DatagramAddress &from, const std::string &text) {
+                   handleDatagram(from, text);
+               })
+    , m_timer(event_new(
+          base, -1, 0,
+          [](evutil_socket_t, short, void *exchange) {
+              static_cast<SchedulingEndpoint *>(exchange)->tick();
+          },
+          this))
+{ }
+
+void SchedulingEndpoint::send(const ToScheduler &message)
+{
+    if (const auto address = m_dependencies.schedulerAddress()) {
+        m_socket.send(*address, encode(Datagram<ToScheduler> {m_self, message}));
+    }
+}
+
+void SchedulingEndpoint::send(const quotas::ToKeeper &message)
+{
+    if (const auto address = m_dependencies.schedulerAddress()) {
+        m_socket.send(*address, encode(Datagram<quotas::ToKeeper> {m_self, message}));
+    }
+}
+
+void SchedulingEndpoint::handleDatagram(const DatagramAddress &from, const std::string &text)
+{
+    const Json::Value value = parseJson(text);
+    if (const auto answer = readDatagramFromScheduler(value)) {
+        m_dependencies.deliver(
+            dispatch::SchedulerAnswered {answer->message, answer->from.incarnation});
+        return;
+    }
+    if (const auto answer = quotas::readFromKeeper(value)) {
+        m_dependencies.deliver(
+            dispatch::QuotaKeeperAnswered {answer->message, answer->from.incarnation});
+        return;
+    }
+    if (!handleSchedulerMessage(from, value) && !handleQuotaMessage(from, value)) {
+        m_dependencies.record("datagram_unreadable",
+                              "from=" + from + " bytes=" + std::to_string(text.size()));
+    }
+}
+
+bool SchedulingEndpoint::handleSchedulerMessage(const DatagramAddress &from,
+                                                const Json::Value &value)
+{
+    const auto datagram = readDatagramToScheduler(value);
+    if (!datagram) {
+        return false;
+    }
+    const auto view = m_dependencies.view();
+    if (!view) {
+        // Without routes nothing can be granted; the sender falls back to choosing engines itself.
+        return true;
+    }
+    m_addresses[datagram->from.node] = from;
+    reply(m_scheduler.handle(present(), *view, datagram->from, datagram->message));
+    armTimer();
+    return true;
+}
+
+bool SchedulingEndpoint::handleQuotaMessage(const DatagramAddress &from, const Json::Value &value)
+{
+    const auto datagram = quotas::readToKeeper(value);
+    if (!datagram) {
+        return false;
+    }
+    const auto view = m_dependencies.view();
+    if (!view) {
+        // Without routes there are no quotas; the sender falls back to enforcing them itself.
+        return true;
+    }
+    m_addresses[datagram->from.node] = from;
+    const auto replies = m_quotaKeeper.handle(present(), {view->routes, m_dependencies.nodeCount()},
+                                              datagram->from, datagram->message);
+    for (const quotas::KeeperReply &one : replies) {
+        const auto it = m_addresses.find(one.to);
+        if (it != m_addresses.end()) {
+            m_socket.send(it->second, encode(Datagram<quotas::FromKeeper> {m_self, one.message}));
+        }
+    }
+    return true;
+}
+
+void SchedulingEndpoint::tick()
+{
+    if (const auto view = m_dependencies.view()) {
+        const TimePoint now = present();
+        reply(m_scheduler.tick(now, *view));
+        recordState(now, *view);
+    }
+    armTimer();
+}
+
+void SchedulingEndpoint::reply(const SchedulerReplies &replies)
+{
+    for (const SchedulerReply &reply : replies) {
+        const auto it = m_addresses.find(reply.to.node);
+        if (it != m_addresses.end()) {
+            m_socket.send(it->second, encode(Datagram<FromScheduler> {m_self, reply.message}));
+        }
+    }
+}
+
+void SchedulingEndpoint::recordState(TimePoint now, const EngineScheduler::View &view)
+{
+    if (m_scheduler.waiting() == 0 || now < m_stateLoggedAt + StateLogInterval) {
+        return;
+    }
+    m_stateLoggedAt = now;
+    const SchedulerState state = m_scheduler.state(now, view);
+    m_dependencies.record(
+        "scheduler_state",
+        "waiting=" + std::to_string(state.waiting) + " granted=" + std::to_string(state.granted)
+            + " decode_usable=" + std::to_string(state.decodeUsable) + "/"
+            + std::to_string(state.decodeEngines) + " prefill_usable="
+            + std::to_string(state.prefillUsable) + "/" + std::to_string(state.prefillEngines)
+            + " free_tokens=" + std::to_string(state.freeTokens) + "/"
+            + std::to_string(state.memoryTokens)
+            + " prefill_wait_ms=" + dispatch::millisecondsText(state.leastPrefillWait)
+            + " refused_at_once=" + std::to_string(state.refusedAtOnce)
+            + " refused_after_wait=" + std::to_string(state.refusedAfterWait));
+}
+
+void SchedulingEndpoint::armTimer()
+{
+    const TimePoint now = present();
+    const auto next = m_scheduler.nextTick(now);
+    const bool isArmed = event_pending(m_timer.get(), EV_TIMEOUT, nullptr) != 0;
+    if (!next || (isArmed && m_timerAt <= *next)) {
+        return;
+    }
+    m_timerAt = *next;
+    const Duration wait = *next - now;
+    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(wait);
+    const timeval delay {seconds.count(), (wait - seconds).count()};
+    event_add(m_timer.get(), &delay);
+}
+
+} // namespace indigoway
--- /dev/null
+++ b/src/edge/schedulingendpoint.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include "dispatch/dispatchevents.h"
+#include "edge/datagramsocket.h"
+#include "quotas/quotacodec.h"
+#include "quotas/quotakeeper.h"
+#include "scheduling/enginescheduler.h"
+#include "scheduling/schedulercodec.h"
+
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+
+namespace indigoway {
+
+/**
+ * Exchanges datagrams with the node that schedules the engines and keeps the quotas. Sends this
+ * node's claims and quota messages to it, and runs the scheduler and the quota keeper for the nodes
+ * that send theirs to this one.
+ */
+class SchedulingEndpoint
+{
+public:
+    struct Dependencies
+    {
+        /** Address of the node that schedules the engines; nothing if there is none. */
+        std::function<std::optional<DatagramAddress>()> schedulerAddress;
+        /** Engines and routes; nothing until this node has routes. */
+        std::function<std::optional<scheduling::EngineScheduler::View>()> view;
+        /** Number of nodes that serve callers. */
+        std::function<std::uint32_t()> nodeCount;
+        /** Delivers an answer of the scheduler or the quota keeper to the dispatcher. */
+        std::function<void(const dispatch::DispatchEvent &)> deliver;
+        std::function<void(const std::string &kind, const std::string &detail)> record;
+    };
+
+    SchedulingEndpoint(event_base *base, NodeLife self, Dependencies dependencies);
+
+    std::optional<DatagramAddress> listenOn(const DatagramAddress &address)
+    {
+        return m_socket.listenOn(address);
+    }
+    void send(const scheduling::ToScheduler &message);
+    void send(const quotas::ToKeeper &message);
+    const quotas::QuotaKeeper &quotaKeeper() const { return m_quotaKeeper; }
+    const scheduling::EngineScheduler &scheduler() const { return m_scheduler; }
+    std::uint64_t unsent() const { return m_socket.unsent(); }
+
+private:
+    void handleDatagram(const DatagramAddress &from, const std::string &text);
+    /** Returns false if @p value is not a message to the scheduler. */
+    bool handleSchedulerMessage(const DatagramAddress &from, const Json::Value &value);
+    /** Returns false if @p value is not a message to the quota keeper. */
+    bool handleQuotaMessage(const DatagramAddress &from, const Json::Value &value);
+    void tick();
+    void reply(const scheduling::SchedulerReplies &replies);
+    void armTimer();
+    /** Logs the scheduler's state at most once a second while claims are waiting. */
+    void recordState(TimePoint now, const scheduling::EngineScheduler::View &view);
+
+    NodeLife m_self;
+    Dependencies m_dependencies;
+    scheduling::EngineScheduler m_scheduler;
+    quotas::QuotaKeeper m_quotaKeeper;
+    DatagramSocket m_socket;
+    EventHandle m_timer;
+    TimePoint m_stateLoggedAt {};
+    TimePoint m_timerAt {};                          ///< Expiry of the timer while it is armed.
+    std::map<NodeName, DatagramAddress> m_addresses; ///< Reply addresses, by sender.
+};
+
+} // namespace indigoway
--- a/src/edge/statecodec.h
+++ b/src/edge/statecodec.h
@@ -8,24 +8,24 @@
 
 namespace indigoway {
 
-/** Why an item of the store could not be read. */
+/** The reason why an item of the store could not be decoded. */
 struct DecodeFault
 {
     std::string what;
 };
 
-/** Where the items lie that this system shares with its operators and servers. */
+/** Keys of the items in the store that nodes, operators and backend servers share. */
 struct StoreLayout
 {
-    std::string routingKey;    ///< The desired state of routing, whole, in one item.
-    std::string serversPrefix; ///< One item per backend server.
-    std::string nodesPrefix;   ///< One item per node of this system; its own to write.
-    std::string leaderKey;     ///< Names the node that may give orders to engines.
-    std::string recordKey;     ///< Exists since a node was first about to.
-    std::string crashesPrefix; ///< What was at servers that crashed; see CrashNote.
+    std::string routingKey;    ///< The desired state of routing, in one item.
+    std::string serversPrefix; ///< One item per backend server, written by it.
+    std::string nodesPrefix;   ///< One item per node, written by it.
+    std::string leaderKey;     ///< Holder of the right to give orders to engines.
+    std::string recordKey;     ///< Written before the first order of all is given.
+    std::string crashesPrefix; ///< Contents that were at crashed servers; see CrashNote.
 };
 
-/** How operators and backend servers spell what they keep in the store. Only spelling. */
+/** Decodes the items that operators and backend servers write to the store. */
 class StateCodec
 {
 public:
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -9,26 +9,23 @@
 
 namespace {
 
-/** How long a question is held. Bounds for how long a connection that fell silent is relied on. */
-constexpr Duration QuestionWait = std::chrono::milliseconds(1000);
-constexpr Duration ProbeWait = std::chrono::milliseconds(50);
-constexpr Duration PeerTimeout = QuestionWait + std::chrono::milliseconds(300);
-/** For a whole copy, which may take its turn on the sender's link. */
-constexpr Duration CopyTimeout = std::chrono::milliseconds(4000);
-/** A node whose upstream has failed finds another one before those below it turn elsewhere. */
-constexpr Duration LooksElsewhereFor = std::chrono::milliseconds(250);
-/** The upstream's name in logs, where it is no node. */
-constexpr char Store[] = "store";
-constexpr timeval TickEvery {0, 50'000};
-/**
- * Of the age that the copy may come to: how often the store is asked for a proof, and how long
- * another node's question is held. Together they leave half of it for what fails on the way: a
- * node that fell silent, and the next one that is asked.
- */
-constexpr int ProofsInAge = 3;
-constexpr int QuestionsInAge = 5;
-/** After a proof that could not be had; short, since nobody is served for a key without one. */
-constexpr Duration ProveAgainAfter = std::chrono::milliseconds(300);
+/** How long a poll is held if there are no changes; bounds how long a dead connection is used. */
+constexpr Duration PollDuration = std::chrono::milliseconds(1000);
+constexpr Duration ProbeDuration = std::chrono::milliseconds(50);
+constexpr Duration PeerTimeout = PollDuration + std::chrono::milliseconds(300);
+/** For a full copy, which may wait for others on the sender's link. */
+constexpr Duration FullCopyTimeout = std::chrono::milliseconds(4000);
+/** Time to find another upstream before the nodes that poll this one are sent away. */
+constexpr Duration FailoverGracePeriod = std::chrono::milliseconds(250);
+/** Name in logs of the store as upstream. */
+constexpr char StoreName[] = "store";
+constexpr timeval TickInterval {0, 50'000};
+// Proofs and held polls per maximum copy age. About half of the age remains for a failover: the
+// timeout of a silent peer and the request to the next one.
+constexpr int ProofsPerMaxAge = 3;
+constexpr int PollsPerMaxAge = 5;
+/** Short, since requests with API keys are rejected without a recent proof. */
+constexpr Duration ProofRetryDelay = std::chrono::milliseconds(300);
 
 TimePoint present()
 {
@@ -37,115 +34,117 @@
 
 } // namespace
 
-StateSync::StateSync(event_base *base, KeyValueStore &store, HttpClient &client, Wiring wiring,
-                     std::string life, std::uint64_t spread)
+StateSync::StateSync(event_base *base, KeyValueStore &store, HttpClient &client,
+                     Dependencies dependencies, std::string incarnationId,
+                     std::uint64_t randomOffset)
     : m_store(store)
     , m_client(client)
-    , m_wiring(std::move(wiring))
+    , m_dependencies(std::move(dependencies))
     , m_timer(event_new(
           base, -1, EV_PERSIST,
-          [](evutil_socket_t, short, void *self) { static_cast<StateSync *>(self)->pump(); }, this))
+          [](evutil_socket_t, short, void *self) { static_cast<StateSync *>(self)->tick(); }, this))
     , m_mirror({},
                [this](const std::string &key, const StoredItem *item, std::uint64_t revision) {
-                   changed(key, item, revision);
+                   handleChange(key, item, revision);
                })
-    , m_answers(m_mirror, m_proof, m_wiring.linkBytesPerSecond, questionWait())
-    , m_choice(m_wiring.self, spread)
-    , m_records(store, m_calls, m_wiring.records, std::move(life))
+    , m_responder(m_mirror, m_proof, m_dependencies.linkBytesPerSecond, pollDuration())
+    , m_upstreamChoice(m_dependencies.self, randomOffset)
+    , m_storeWriter(store, m_callCounts, m_dependencies.storeWriter, std::move(incarnationId))
 { }
 
 void StateSync::start(const NodeEntry &self)
 {
-    m_wiring.self = self;
-    m_records.setSelf(self);
-    m_lookingElsewhereUntil = present() + LooksElsewhereFor;
-    event_add(m_timer.get(), &TickEvery);
-    pump();
+    m_dependencies.self = self;
+    m_storeWriter.setSelf(self);
+    m_failoverUntil = present() + FailoverGracePeriod;
+    event_add(m_timer.get(), &TickInterval);
+    tick();
 }
 
-void StateSync::stoodStill(TimePoint now)
+void StateSync::handleSuspension(TimePoint now)
 {
-    m_records.stoodStill(now);
+    m_storeWriter.handleSuspension(now);
     m_mirror.refresh();
-    pump();
+    tick();
 }
 
-void StateSync::pump()
+void StateSync::tick()
 {
-    pumpMirror();
-    pumpProof();
-    pumpRecords();
-    answerQuestions();
+    startNextMirrorCall();
+    startDueProof();
+    updateStoreWriter();
+    sendDueReplies();
 }
 
-void StateSync::pumpRecords()
+void StateSync::updateStoreWriter()
 {
-    const NodeRoster &roster = m_wiring.roster();
-    StoreRecords::Standing standing;
-    standing.isCurrent = m_isCurrent;
-    standing.isWatcher = m_choice.isWatcher(roster);
-    const bool isReliedOn =
-        standing.isWatcher || m_records.holdsOrderRight() || m_wiring.isReliedOn();
-    if (!isReliedOn) {
-        standing.leaseLifetime = NodeAnnouncer::lifetimeFor(roster.size());
+    const NodeRoster &roster = m_dependencies.roster();
+    StoreWriter::NodeStatus status;
+    status.isCurrent = m_isCurrent;
+    status.isWatcher = m_upstreamChoice.isWatcher(roster);
+    const bool needsShortLease =
+        status.isWatcher || m_storeWriter.holdsOrderRight() || m_dependencies.needsShortLease();
+    if (!needsShortLease) {
+        status.leaseLifetime = NodeAnnouncer::lifetimeFor(roster.size());
     }
-    m_records.pump(standing);
+    m_storeWriter.startDueCalls(status);
 }
 
-void StateSync::takePeerQuestion(ExchangeNumber exchange, std::uint64_t revision,
-                                 const std::string &control)
+void StateSync::handlePeerPoll(ExchangeNumber exchange, std::uint64_t revision,
+                               const std::string &control)
 {
-    m_answers.take(exchange, revision, control, present(), BootClock::now());
-    answerQuestions();
+    m_responder.addPoll(exchange, revision, control, present(), BootClock::now());
+    sendDueReplies();
 }
 
-void StateSync::answerQuestions()
+void StateSync::sendDueReplies()
 {
     const TimePoint now = present();
-    const bool mayHear = m_isCurrent || now < m_lookingElsewhereUntil;
-    for (const NewsAnswers::Answered &one :
-         m_answers.due(now, BootClock::now(), m_isCurrent, mayHear)) {
-        m_wiring.answerPeer(one.exchange, one.body);
+    const bool mayBecomeCurrent = m_isCurrent || now < m_failoverUntil;
+    for (const MirrorResponder::Reply &one :
+         m_responder.takeDueReplies(now, BootClock::now(), m_isCurrent, mayBecomeCurrent)) {
+        m_dependencies.replyToPeer(one.exchange, one.body);
     }
 }
 
-void StateSync::changed(const std::string &key, const StoredItem *item, std::uint64_t revision)
+void StateSync::handleChange(const std::string &key, const StoredItem *item, std::uint64_t revision)
 {
-    m_records.changed(key, item ? &item->value : nullptr, revision, present());
-    m_wiring.changed(key, item);
+    m_storeWriter.handleChange(key, item ? &item->value : nullptr, revision, present());
+    m_dependencies.itemChanged(key, item);
 }
 
-void StateSync::pumpMirror()
+void StateSync::startNextMirrorCall()
 {
     const TimePoint now = present();
     if (m_mirror.isBusy(now)) {
         return;
     }
-    const NodeRoster &roster = m_wiring.roster();
+    const NodeRoster &roster = m_dependencies.roster();
     const bool isLongListing =
         !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
     const std::optional<Upstream> upstream = isLongListing
-        ? m_choice.chooseForFirstCopy(now, roster, m_wiring.seeds(), m_wiring.isSeed())
-        : m_choice.choose(now, roster, m_wiring.seeds());
+        ? m_upstreamChoice.chooseForFirstCopy(now, roster, m_dependencies.seeds(),
+                                              m_dependencies.isSeed())
+        : m_upstreamChoice.choose(now, roster, m_dependencies.seeds());
     if (!upstream) {
         return;
     }
-    noteUpstream(*upstream);
+    recordUpstreamChange(*upstream);
     if (upstream->peer) {
-        askPeer(*upstream);
+        requestFromPeer(*upstream);
     } else {
-        askStore(*upstream);
+        requestFromStore(*upstream);
     }
 }
 
-void StateSync::askStore(const Upstream &upstream)
+void StateSync::requestFromStore(const Upstream &upstream)
 {
     const std::uint64_t generation = m_mirror.generation();
     const MirrorCall call = m_mirror.beginStoreCall();
     if (const auto *list = std::get_if<ListCall>(&call)) {
-        ++m_calls.lists;
+        ++m_callCounts.lists;
         if (list->after.empty()) {
-            m_listAskedAt = BootClock::now();
+            m_listingStartedAt = BootClock::now();
         }
         m_store.list(m_mirror.prefix(), list->after,
                      [this, upstream, generation](const auto &result) {
@@ -153,43 +152,43 @@
                              return;
                          }
                          if (const auto *fault = std::get_if<StoreFault>(&result)) {
-                             failed(upstream, *fault);
+                             handleCallFailure(upstream, *fault);
                              return;
                          }
                          m_mirror.listed(std::get<StoredPage>(result));
-                         m_answers.passOnHeard(m_mirror);
+                         m_responder.addStoreUpdates(m_mirror);
                          if (!m_mirror.isListing()) {
-                             m_proof.answered(m_listAskedAt, m_mirror.asOf(), m_mirror.asOf());
+                             m_proof.answered(m_listingStartedAt, m_mirror.asOf(), m_mirror.asOf());
                          }
-                         succeeded(upstream);
+                         handleCallSuccess(upstream);
                      });
         return;
     }
-    ++m_calls.watches;
+    ++m_callCounts.watches;
     m_store.watch(m_mirror.prefix(), std::get<WatchCall>(call).revision,
-                  upstream.isProbe ? ProbeWait : QuestionWait,
+                  upstream.isProbe ? ProbeDuration : PollDuration,
                   [this, upstream, generation](const auto &result) {
                       if (generation != m_mirror.generation()) {
                           return;
                       }
                       if (const auto *fault = std::get_if<StoreFault>(&result)) {
-                          failed(upstream, *fault);
+                          handleCallFailure(upstream, *fault);
                           return;
                       }
                       m_mirror.watched(present(), std::get<StoredChanges>(result));
-                      m_answers.passOnHeard(m_mirror);
-                      succeeded(upstream);
+                      m_responder.addStoreUpdates(m_mirror);
+                      handleCallSuccess(upstream);
                   });
 }
 
-void StateSync::askPeer(const Upstream &upstream)
+void StateSync::requestFromPeer(const Upstream &upstream)
 {
     const std::uint64_t generation = m_mirror.generation();
     HttpCall call;
     call.address = *upstream.peer;
     call.path = "/v1/mirror?after=" + std::to_string(m_mirror.beginPeerCall())
-        + "&from=" + m_wiring.self.control;
-    call.timeout = m_mirror.isKnown() ? PeerTimeout : CopyTimeout;
+        + "&from=" + m_dependencies.self.control;
+    call.timeout = m_mirror.isKnown() ? PeerTimeout : FullCopyTimeout;
     call.traffic = Traffic::Peers;
     const BootTime askedAt = BootClock::now();
     m_client.start(std::move(call),
@@ -199,119 +198,123 @@
                        }
                        constexpr int Ok = 200;
                        if (answer.end != HttpAnswer::End::Complete || answer.status != Ok) {
-                           failed(upstream, StoreFault::Unanswered);
+                           handleCallFailure(upstream, StoreFault::Unanswered);
                            return;
                        }
-                       const auto told = decodeAnswer(answer.body);
-                       if (!told) {
-                           failed(upstream, StoreFault::Refused);
+                       const auto response = decodeResponse(answer.body);
+                       if (!response) {
+                           handleCallFailure(upstream, StoreFault::Refused);
                            return;
                        }
-                       peerAnswered(upstream, askedAt, *told);
+                       handlePeerResponse(upstream, askedAt, *response);
                    });
 }
 
-void StateSync::peerAnswered(const Upstream &upstream, BootTime askedAt, const MirrorAnswer &answer)
+void StateSync::handlePeerResponse(const Upstream &upstream, BootTime askedAt,
+                                   const MirrorResponse &response)
 {
-    for (const std::string &block : answer.blocks) {
-        if (!takeBlock(block)) {
-            failed(upstream, StoreFault::Refused);
+    for (const std::string &block : response.blocks) {
+        if (!applyBlock(block)) {
+            handleCallFailure(upstream, StoreFault::Refused);
             return;
         }
     }
     m_mirror.peerAnswered();
     if (!m_mirror.isKnown()) {
-        // Not at fault, and not of use yet.
-        m_choice.referred(present(), upstream, answer.elsewhere);
-        pumpMirror();
+        // The peer is too busy to send a full copy, which is no failure.
+        m_upstreamChoice.referred(present(), upstream, response.alternativePeers);
+        startNextMirrorCall();
         return;
     }
-    if (answer.age) {
-        m_proof.told(askedAt, BootClock::now(), answer.held, *answer.age);
+    if (response.age) {
+        m_proof.told(askedAt, BootClock::now(), response.held, *response.age);
     }
-    succeeded(upstream);
+    handleCallSuccess(upstream);
 }
 
-bool StateSync::takeBlock(const std::string &bytes)
+bool StateSync::applyBlock(const std::string &bytes)
 {
     const auto news = decodeNews(bytes);
     if (!news || !m_mirror.told(*news)) {
         return false;
     }
-    m_answers.passOn(
+    m_responder.addPeerUpdate(
         {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(bytes)});
     return true;
 }
 
-void StateSync::succeeded(const Upstream &upstream)
+void StateSync::handleCallSuccess(const Upstream &upstream)
 {
-    m_choice.succeeded(upstream);
+    m_upstreamChoice.succeeded(upstream);
     m_proof.copied(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
-        m_records.storeIsBack(present());
-        m_wiring.record("store_copy_current",
-                        "from=" + m_upstream + " as_of=" + std::to_string(m_mirror.asOf()));
+        m_storeWriter.storeIsBack(present());
+        m_dependencies.record("store_copy_current",
+                              "from=" + m_upstreamName
+                                  + " as_of=" + std::to_string(m_mirror.asOf()));
     }
-    answerQuestions();
-    pumpMirror();
+    sendDueReplies();
+    startNextMirrorCall();
 }
 
-void StateSync::failed(const Upstream &upstream, StoreFault fault)
+void StateSync::handleCallFailure(const Upstream &upstream, StoreFault fault)
 {
     m_mirror.failed(present(), fault);
     if (fault == StoreFault::HistoryGone) {
-        m_choice.succeeded(upstream);
+        m_upstreamChoice.succeeded(upstream);
     } else {
-        m_choice.failed(present(), upstream);
+        m_upstreamChoice.failed(present(), upstream);
         if (std::exchange(m_isCurrent, false)) {
-            m_lookingElsewhereUntil = present() + LooksElsewhereFor;
+            m_failoverUntil = present() + FailoverGracePeriod;
         }
-        pumpRecords();
-        answerQuestions();
+        updateStoreWriter();
+        sendDueReplies();
     }
-    m_wiring.record("store_copy_call_failed",
-                    "from=" + m_upstream + " fault=" + nameOf(fault)
-                        + " as_of=" + std::to_string(m_mirror.asOf()));
-    pumpMirror();
+    m_dependencies.record("store_copy_call_failed",
+                          "from=" + m_upstreamName + " fault=" + nameOf(fault)
+                              + " as_of=" + std::to_string(m_mirror.asOf()));
+    startNextMirrorCall();
 }
 
-void StateSync::pumpProof()
+void StateSync::startDueProof()
 {
     const TimePoint now = present();
-    const bool hearsStore = m_isCurrent && m_upstream == Store;
-    if (!m_wiring.mostCopyAge || !hearsStore || m_isProving || now < m_proofWantedAt) {
+    const bool followsStore = m_isCurrent && m_upstreamName == StoreName;
+    if (!m_dependencies.maxCopyAge || !followsStore || m_isProofPending || now < m_nextProofAt) {
         return;
     }
-    const Duration usualPause = *m_wiring.mostCopyAge / ProofsInAge;
-    m_isProving = true;
-    ++m_calls.proofs;
-    // Any answer tells the store's revision; that of one small item is the cheapest.
-    m_store.list(m_wiring.records.leaderKey, {},
-                 [this, usualPause, askedAt = BootClock::now()](const auto &result) {
-                     m_isProving = false;
+    const Duration interval = *m_dependencies.maxCopyAge / ProofsPerMaxAge;
+    m_isProofPending = true;
+    ++m_callCounts.proofs;
+    // Every response has the store's revision; listing one small item is the cheapest call.
+    m_store.list(m_dependencies.storeWriter.leaderKey, {},
+                 [this, interval, askedAt = BootClock::now()](const auto &result) {
+                     m_isProofPending = false;
                      if (const auto *page = std::get_if<StoredPage>(&result)) {
                          m_proof.answered(askedAt, page->asOf, m_mirror.asOf());
-                         m_proofWantedAt = present() + usualPause;
+                         m_nextProofAt = present() + interval;
                      } else {
-                         m_proofWantedAt = present() + std::min(ProveAgainAfter, usualPause);
-                         m_wiring.record("copy_not_proven", nameOf(std::get<StoreFault>(result)));
+                         m_nextProofAt = present() + std::min(ProofRetryDelay, interval);
+                         m_dependencies.record("copy_not_proven",
+                                               nameOf(std::get<StoreFault>(result)));
                      }
                  });
 }
 
-Duration StateSync::questionWait() const
+Duration StateSync::pollDuration() const
 {
-    return m_wiring.mostCopyAge ? std::min(QuestionWait, *m_wiring.mostCopyAge / QuestionsInAge)
-                                : QuestionWait;
+    return m_dependencies.maxCopyAge
+        ? std::min(PollDuration, *m_dependencies.maxCopyAge / PollsPerMaxAge)
+        : PollDuration;
 }
 
-void StateSync::noteUpstream(const Upstream &upstream)
+void StateSync::recordUpstreamChange(const Upstream &upstream)
 {
-    const std::string name = upstream.peer.value_or(Store);
-    if (name != m_upstream) {
-        m_wiring.record("upstream", "from=" + name + " before=" + m_upstream);
-        m_upstream = name;
+    const std::string name = upstream.peer.value_or(StoreName);
+    if (name != m_upstreamName) {
+        m_dependencies.record("upstream", "from=" + name + " before=" + m_upstreamName);
+        m_upstreamName = name;
     }
 }
 
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "edge/newsanswers.h"
-#include "edge/storerecords.h"
+#include "edge/mirrorresponder.h"
+#include "edge/storewriter.h"
 #include "fleet/upstreamchoice.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
@@ -16,89 +16,97 @@
 namespace indigoway {
 
 /**
- * Keeps this node's copy of the store up to date, from the store or from another node, and tells
- * other nodes of it.
+ * Keeps this node's copy of the store up to date from the store or from another node, and passes
+ * the changes on to other nodes.
  */
 class StateSync
 {
 public:
-    struct Wiring
+    struct Dependencies
     {
         NodeEntry self;
-        StoreRecords::Wiring records;
-        /** The copy is kept proven to be no older than this; nothing: it is not proven. */
-        std::optional<Duration> mostCopyAge;
-        /** An item was written, or is gone if it is null. */
-        std::function<void(const std::string &key, const StoredItem *item)> changed;
-        StoreRecords::RecordHandler record;
+        StoreWriter::Dependencies storeWriter;
+        /** Age limit that the copy is regularly checked to keep; nothing: it is not checked. */
+        std::optional<Duration> maxCopyAge;
+        /** Handles the change of an item; the item is null if it was removed. */
+        std::function<void(const std::string &key, const StoredItem *item)> itemChanged;
+        StoreWriter::RecordHandler record;
         std::function<const NodeRoster &()> roster;
-        std::function<std::vector<std::string>()> seeds; ///< Further control addresses.
-        /** Whether other nodes may know this one from their settings. */
+        std::function<std::vector<std::string>()> seeds; ///< Control addresses from the settings.
+        /** Whether this node is a seed in the settings of other nodes. */
         std::function<bool()> isSeed;
-        /** Whether all nodes rely on this one, so that its end must be noticed soon. */
-        std::function<bool()> isReliedOn;
+        /** Whether other nodes depend on this one, so that its failure must be detected soon. */
+        std::function<bool()> needsShortLease;
         double linkBytesPerSecond = 0;
-        std::function<void(ExchangeNumber, const std::string &)> answerPeer;
+        /** Sends a response to a polling node; 503 if the body is empty. */
+        std::function<void(ExchangeNumber, const std::string &)> replyToPeer;
     };
 
-    /** @p life: a name that no other life of any node has. @p spread: a random number. */
-    StateSync(event_base *base, KeyValueStore &store, HttpClient &client, Wiring wiring,
-              std::string life, std::uint64_t spread);
+    /**
+     * @param incarnationId Identifies this run of the process; unique over all nodes.
+     * @param randomOffset Spreads the nodes over the possible upstreams.
+     */
+    StateSync(event_base *base, KeyValueStore &store, HttpClient &client, Dependencies dependencies,
+              std::string incarnationId, std::uint64_t randomOffset);
 
-    /** @p self: as it is announced, with the addresses that it listens on. */
+    /** @param self The entry to announce, with the bound addresses. */
     void start(const NodeEntry &self);
+    /** Returns whether there is a full copy of the store. */
     bool isKnown() const { return m_mirror.isKnown(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
-    /** How old the copy may be by @p now, at the most; nothing: not known. */
+    /** Returns the maximum age of the copy at @p now; nothing if it is unknown. */
     std::optional<Duration> copyAge(BootTime now) const { return m_proof.age(now); }
-    /** What this node writes to the store. */
-    StoreRecords &records() { return m_records; }
-    /** This process stood still: nothing it knew of its rights holds any more. */
-    void stoodStill(TimePoint now);
+    StoreWriter &storeWriter() { return m_storeWriter; }
+    /** Lists the store anew and renews this node's rights, after this process was suspended. */
+    void handleSuspension(TimePoint now);
     /**
-     * Another node, at @p control, asks for what came after @p revision; it is answered when there
-     * is something.
+     * Handles a poll of the node at @p control for the changes after @p revision. If there are
+     * none, the response is delayed until there are or the poll's hold time is over.
      */
-    void takePeerQuestion(ExchangeNumber exchange, std::uint64_t revision,
-                          const std::string &control);
-    void peerGone(ExchangeNumber exchange) { m_answers.askerGone(exchange); }
+    void handlePeerPoll(ExchangeNumber exchange, std::uint64_t revision,
+                        const std::string &control);
+    void cancelPeerPoll(ExchangeNumber exchange) { m_responder.cancelPoll(exchange); }
 
-    const StoreCalls &storeCalls() const { return m_calls; }
+    const StoreCallCounts &storeCallCounts() const { return m_callCounts; }
 
 private:
-    void pump();
-    void pumpMirror();
-    void askStore(const Upstream &upstream);
-    void askPeer(const Upstream &upstream);
-    void peerAnswered(const Upstream &upstream, BootTime askedAt, const MirrorAnswer &answer);
-    /** Takes in a block of news; false if it cannot be read. */
-    bool takeBlock(const std::string &bytes);
-    void succeeded(const Upstream &upstream);
-    void failed(const Upstream &upstream, StoreFault fault);
-    void pumpProof();
-    void pumpRecords();
-    Duration questionWait() const;
-    void changed(const std::string &key, const StoredItem *item, std::uint64_t revision);
-    void answerQuestions();
-    void noteUpstream(const Upstream &upstream);
+    void tick();
+    /** Starts a call for changes to the store or a peer, unless one is under way. */
+    void startNextMirrorCall();
+    void requestFromStore(const Upstream &upstream);
+    void requestFromPeer(const Upstream &upstream);
+    void handlePeerResponse(const Upstream &upstream, BootTime askedAt,
+                            const MirrorResponse &response);
+    /** Applies a block of changes to the copy; returns false if it is malformed or has a gap. */
+    bool applyBlock(const std::string &bytes);
+    void handleCallSuccess(const Upstream &upstream);
+    void handleCallFailure(const Upstream &upstream, StoreFault fault);
+    /** Asks the store for its revision if it is time to check that the copy is up to date. */
+    void startDueProof();
+    /** Passes this node's current status to the store writer. */
+    void updateStoreWriter();
+    /** Returns how long a poll for changes is held if there are none. */
+    Duration pollDuration() const;
+    void handleChange(const std::string &key, const StoredItem *item, std::uint64_t revision);
+    void sendDueReplies();
+    void recordUpstreamChange(const Upstream &upstream);
 
     KeyValueStore &m_store;
     HttpClient &m_client;
-    Wiring m_wiring;
+    Dependencies m_dependencies;
     EventHandle m_timer;
     Mirror m_mirror;
     CopyProof m_proof;
-    NewsAnswers m_answers;
-    TimePoint m_proofWantedAt {};
-    bool m_isProving = false;  ///< The store is being asked.
-    BootTime m_listAskedAt {}; ///< For the first page of the listing that is under way.
-    UpstreamChoice m_choice;
-    StoreCalls m_calls;
-    StoreRecords m_records;
-    bool m_isCurrent = false; ///< The last call succeeded.
-    /** Until then the nodes below this one are not told that it hears nothing. */
-    TimePoint m_lookingElsewhereUntil {};
-    std::string m_upstream; ///< Whom it was made to; for logs.
+    MirrorResponder m_responder;
+    TimePoint m_nextProofAt {};
+    bool m_isProofPending = false;
+    BootTime m_listingStartedAt {}; ///< Time of the request for the first page.
+    UpstreamChoice m_upstreamChoice;
+    StoreCallCounts m_callCounts;
+    StoreWriter m_storeWriter;
+    bool m_isCurrent = false;     ///< Whether the last call for changes succeeded.
+    TimePoint m_failoverUntil {}; ///< End of the time to find another upstream.
+    std::string m_upstreamName;   ///< Upstream of the last call, for logs.
 };
 
 } // namespace indigoway
--- /dev/null
+++ b/src/edge/storewriter.cpp
@@ -0,0 +1,210 @@
+#include "storewriter.h"
+
+namespace indigoway {
+
+namespace {
+
+TimePoint present()
+{
+    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
+}
+
+} // namespace
+
+StoreWriter::StoreWriter(KeyValueStore &store, StoreCallCounts &counts, Dependencies dependencies,
+                         std::string incarnationId)
+    : m_store(store)
+    , m_callCounts(counts)
+    , m_dependencies(std::move(dependencies))
+    , m_leadership(std::move(incarnationId))
+{ }
+
+void StoreWriter::startDueCalls(const NodeStatus &status)
+{
+    m_status = status;
+    startAnnouncerCall();
+    acquireOrderRight();
+    startPublisherCall();
+}
+
+void StoreWriter::storeIsBack(TimePoint now)
+{
+    m_announcer.storeIsBack(now);
+    m_publisher.storeIsBack(now);
+}
+
+void StoreWriter::handleChange(const std::string &key, const std::string *value,
+                               std::uint64_t revision, TimePoint now)
+{
+    if (!value && key == m_dependencies.ownKey) {
+        m_announcer.entryVanished();
+    }
+    if (key == m_dependencies.recordKey && value) {
+        m_leadership.recordSeen(revision);
+    }
+    if (key == m_dependencies.leaderKey) {
+        m_leadership.holderSeen(value, revision, now);
+        m_dependencies.record("order_right",
+                              "holder=" + (value ? *value : std::string("none"))
+                                  + " token=" + std::to_string(revision));
+    }
+}
+
+std::optional<std::uint64_t> StoreWriter::orderToken(TimePoint now) const
+{
+    return m_status.isCurrent ? m_leadership.token(now, m_announcer.renewedAt()) : std::nullopt;
+}
+
+void StoreWriter::leave()
+{
+    const StoreLease lease = m_announcer.leave();
+    if (lease.isNone()) {
+        return;
+    }
+    ++m_callCounts.leases;
+    m_store.endLease(lease, [this](const std::variant<StoreDone, StoreFault> &result) {
+        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            m_dependencies.record("entry_not_ended", nameOf(*fault));
+        }
+    });
+}
+
+void StoreWriter::publish(const CrashNote &note)
+{
+    m_publisher.add(note);
+    startPublisherCall();
+}
+
+void StoreWriter::startAnnouncerCall()
+{
+    m_announcer.setWanted(m_status.leaseLifetime);
+    const auto call = m_announcer.nextCall(present());
+    if (!call) {
+        return;
+    }
+    if (const auto *grant = std::get_if<GrantLeaseCall>(&*call)) {
+        ++m_callCounts.leases;
+        m_store.grantLease(grant->lifetime, [this](const auto &result) {
+            if (const auto *fault = std::get_if<StoreFault>(&result)) {
+                m_announcer.failed(present(), *fault);
+            } else {
+                m_announcer.leaseGranted(present(), std::get<GrantedLease>(result));
+            }
+            startAnnouncerCall();
+        });
+    } else if (const auto *put = std::get_if<PutEntryCall>(&*call)) {
+        StoreCommit commit;
+        commit.writes.push_back({m_dependencies.ownKey, encodeNodeEntry(m_self), put->lease});
+        ++m_callCounts.writes;
+        m_store.commit(commit, [this](const auto &result) {
+            if (handleAnnouncementResult(result)) {
+                m_announcer.entryWritten(present());
+            }
+            startAnnouncerCall();
+        });
+    } else {
+        ++m_callCounts.renewals;
+        m_store.renewLease(std::get<RenewLeaseCall>(*call).lease, [this](const auto &result) {
+            if (handleAnnouncementResult(result)) {
+                m_announcer.leaseRenewed(present());
+            }
+            startAnnouncerCall();
+        });
+    }
+}
+
+bool StoreWriter::handleAnnouncementResult(const std::variant<StoreDone, StoreFault> &result)
+{
+    const auto *fault = std::get_if<StoreFault>(&result);
+    if (!fault) {
+        return true;
+    }
+    m_announcer.failed(present(), *fault);
+    m_dependencies.record("entry_not_kept", nameOf(*fault));
+    return false;
+}
+
+void StoreWriter::acquireOrderRight()
+{
+    const bool mayAsk = m_status.isCurrent && m_status.isWatcher && m_announcer.isAnnounced()
+        && !m_announcer.lease().isNone();
+    if (!mayAsk || !m_leadership.shouldAcquire(present())) {
+        return;
+    }
+    StoreCommit commit;
+    commit.conditions.push_back({m_dependencies.leaderKey, 0});
+    commit.writes.push_back({m_dependencies.leaderKey, m_leadership.life(), m_announcer.lease()});
+    // The result shows in the copy of the store, even if the response is lost.
+    ++m_callCounts.writes;
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
+        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            m_dependencies.record("order_right_not_taken", nameOf(*fault));
+        }
+    });
+}
+
+void StoreWriter::prepareOrders()
+{
+    if (!m_status.isCurrent || !m_leadership.shouldRecord(present())) {
+        return;
+    }
+    StoreCommit commit;
+    commit.conditions.push_back({m_dependencies.leaderKey, m_leadership.revision()});
+    commit.conditions.push_back({m_dependencies.recordKey, 0});
+    commit.writes.push_back({m_dependencies.recordKey, m_leadership.life(), StoreLease()});
+    ++m_callCounts.writes;
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
+        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            m_dependencies.record("orders_not_prepared", nameOf(*fault));
+        }
+    });
+}
+
+void StoreWriter::startPublisherCall()
+{
+    const auto call = m_publisher.nextCall(present());
+    if (!call) {
+        return;
+    }
+    if (const auto *write = std::get_if<WriteNotesCall>(&*call)) {
+        writeNotes(*write);
+        return;
+    }
+    ++m_callCounts.leases;
+    m_store.grantLease(CrashPublisher::LeaseLifetime, [this](const auto &result) {
+        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            handlePublishFailure(*fault);
+        } else {
+            m_publisher.leaseGranted(present(), std::get<GrantedLease>(result).lease);
+        }
+        startPublisherCall();
+    });
+}
+
+void StoreWriter::writeNotes(const WriteNotesCall &call)
+{
+    StoreCommit commit;
+    for (const CrashNote &note : call.notes) {
+        commit.writes.push_back(
+            {crashKey(m_dependencies.crashesPrefix, note), m_self.name.text(), call.lease});
+    }
+    ++m_callCounts.writes;
+    m_store.commit(commit, [this](const auto &result) {
+        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            handlePublishFailure(*fault);
+        } else {
+            m_publisher.written(present());
+        }
+        startPublisherCall();
+    });
+}
+
+void StoreWriter::handlePublishFailure(StoreFault fault)
+{
+    m_publisher.failed(present(), fault);
+    m_dependencies.record("crash_not_shared",
+                          std::string(nameOf(fault))
+                              + " waiting=" + std::to_string(m_publisher.waiting()));
+}
+
+} // namespace indigoway
--- a/src/edge/decisionlog.cpp
+++ b/src/edge/structuredlog.cpp
@@ -1,4 +1,4 @@
-#include "decisionlog.h"
+#include "structuredlog.h"
 
 #include "core/jsontext.h"
 
@@ -15,13 +15,13 @@
 
 namespace {
 
-/** Lines of one kind a second on the long run; three times the requests of a node at its peak. */
+/** Sustained rate of each kind of line. */
 constexpr double LinesPerSecond = 40;
-constexpr double MostAtOnce = 200;
-/** A pipe takes so many bytes in one piece or says beforehand that it would not. */
-constexpr std::size_t LongestLine = 2048;
+constexpr double BurstLines = 200;
+/** Below PIPE_BUF, so that a line is written to a pipe as a whole or not at all. */
+constexpr std::size_t MaxLineBytes = 2048;
 
-/** Writes to standard output only where that does not block; a reader may have stopped. */
+/** Writes to standard output if that does not block, and drops the line otherwise. */
 class NonBlockingSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
 {
 public:
@@ -51,19 +51,20 @@
 
 } // namespace
 
-DecisionLog::DecisionLog(const NodeName &node)
+StructuredLog::StructuredLog(const NodeName &node)
     : m_node(quoted(node.text()))
     , m_logger(std::make_shared<spdlog::logger>("decisions", std::make_shared<NonBlockingSink>()))
 {
     m_logger->set_pattern("{\"time\":\"%Y-%m-%dT%H:%M:%S.%e\",%v}");
 }
 
-DecisionLog::~DecisionLog() = default;
+StructuredLog::~StructuredLog() = default;
 
-void DecisionLog::write(TimePoint now, const std::string &kind, const std::vector<LogField> &fields)
+void StructuredLog::write(TimePoint now, const std::string &kind,
+                          const std::vector<LogField> &fields)
 {
-    Bucket &bucket = m_buckets[kind];
-    if (!mayWrite(bucket, now)) {
+    TokenBucket &bucket = m_buckets[kind];
+    if (!takeToken(bucket, now)) {
         ++bucket.dropped;
         ++m_dropped;
         return;
@@ -76,24 +77,24 @@
         line += ",\"dropped_before\":" + std::to_string(bucket.dropped);
         bucket.dropped = 0;
     }
-    if (line.size() > LongestLine) {
+    if (line.size() > MaxLineBytes) {
         line = "\"node\":" + m_node + ",\"kind\":" + quoted(kind) + ",\"fault\":\"line too long\"";
     }
     m_logger->info("{}", line);
 }
 
-bool DecisionLog::mayWrite(Bucket &bucket, TimePoint now) const
+bool StructuredLog::takeToken(TokenBucket &bucket, TimePoint now) const
 {
     const double seconds =
-        std::chrono::duration_cast<std::chrono::duration<double>>(now - bucket.filledAt).count();
-    bucket.lines = bucket.filledAt == TimePoint {}
-        ? MostAtOnce
-        : std::min(MostAtOnce, bucket.lines + seconds * LinesPerSecond);
-    bucket.filledAt = now;
-    if (bucket.lines < 1) {
+        std::chrono::duration_cast<std::chrono::duration<double>>(now - bucket.refilledAt).count();
+    bucket.tokens = bucket.refilledAt == TimePoint {}
+        ? BurstLines
+        : std::min(BurstLines, bucket.tokens + seconds * LinesPerSecond);
+    bucket.refilledAt = now;
+    if (bucket.tokens < 1) {
         return false;
     }
-    bucket.lines -= 1;
+    bucket.tokens -= 1;
     return true;
 }
 
--- a/tests/edge/edgemetricstest.cpp
+++ b/tests/edge/edgemetricstest.cpp
@@ -9,46 +9,47 @@
 {
     CPPUNIT_TEST_SUITE(EdgeMetricsTest);
     CPPUNIT_TEST(countsRequestsByOutcome);
-    CPPUNIT_TEST(countsByOrganisationWithinBounds);
-    CPPUNIT_TEST(bucketsAddUp);
+    CPPUNIT_TEST(countsByOrganisationUpToALimit);
+    CPPUNIT_TEST(histogramBucketsAreCumulative);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void countsRequestsByOutcome()
     {
         EdgeMetrics metrics;
-        RequestEnded served;
-        served.isGeneration = true;
-        metrics.add(served);
-        metrics.add(served);
-        served.outcome = RequestOutcome::Rejected;
-        metrics.add(served);
+        RequestEnded ended;
+        ended.isGeneration = true;
+        metrics.add(ended);
+        metrics.add(ended);
+        ended.outcome = RequestOutcome::Rejected;
+        metrics.add(ended);
         metrics.add(RecordDecision {"retry", "c1", "why"});
-        const std::string text = metrics.text({{"requests_open", 7}});
+        const std::string text = metrics.prometheusText({{"requests_open", 7}});
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"served\"} 2\n");
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"rejected\"} 1\n");
         expect(text, "indigoway_decisions_total{kind=\"retry\"} 1\n");
         expect(text, "indigoway_requests_open 7\n");
     }
 
-    void countsByOrganisationWithinBounds()
+    void countsByOrganisationUpToALimit()
     {
         EdgeMetrics metrics;
         RequestEnded ended;
         ended.outcome = RequestOutcome::OverQuota;
         ended.organisation = OrganisationName("a \"b\"");
         metrics.add(ended);
-        expect(metrics.text({}),
+        expect(metrics.prometheusText({}),
                "indigoway_organisation_requests_total{organisation=\"a "
                "\\\"b\\\"\",outcome=\"over_quota\"} 1\n");
         for (int i = 0; i < 12'000; ++i) {
             ended.organisation = OrganisationName(std::to_string(i));
             metrics.add(ended);
         }
-        expect(metrics.text({}), "organisation=\"(others)\",outcome=\"over_quota\"} 2001\n");
+        expect(metrics.prometheusText({}),
+               "organisation=\"(others)\",outcome=\"over_quota\"} 2001\n");
     }
 
-    void bucketsAddUp()
+    void histogramBucketsAreCumulative()
     {
         EdgeMetrics metrics;
         for (const int milliseconds : {0, 5, 50, 500, 200'000}) {
@@ -57,7 +58,7 @@
             ended.untilFirst = ended.whole;
             metrics.add(ended);
         }
-        const std::string text = metrics.text({});
+        const std::string text = metrics.prometheusText({});
         expect(text, "indigoway_request_seconds_count{sort=\"plain\"} 5\n");
         expect(text, "indigoway_request_seconds_bucket{sort=\"plain\",le=\"+Inf\"} 5\n");
         expect(text, "indigoway_request_seconds_bucket{sort=\"plain\",le=\"100\"} 4\n");
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -1,4 +1,4 @@
-#include "edge/newsanswers.h"
+#include "edge/mirrorresponder.h"
 #include "fleet/noderoster.h"
 #include "fleet/upstreamchoice.h"
 
@@ -15,22 +15,22 @@
 namespace {
 
 constexpr std::size_t PageItems = 200;
-constexpr int Domains = 5;
-constexpr Duration StoreTakes = std::chrono::milliseconds(5);
-constexpr Duration PeerTakes = std::chrono::milliseconds(2);
-constexpr Duration CopyTimeout = std::chrono::seconds(4);
-constexpr Duration LookEvery = std::chrono::milliseconds(50);
-constexpr Duration HeldFor = std::chrono::seconds(1);
-
-/** What happens when, in virtual time. */
-class Timeline
+constexpr int DomainCount = 5;
+constexpr Duration StoreLatency = std::chrono::milliseconds(5);
+constexpr Duration PeerLatency = std::chrono::milliseconds(2);
+constexpr Duration FullCopyTimeout = std::chrono::seconds(4);
+constexpr Duration TickInterval = std::chrono::milliseconds(50);
+constexpr Duration PollDuration = std::chrono::seconds(1);
+
+/** A discrete-event simulator. */
+class Simulator
 {
 public:
     TimePoint now() const { return m_now; }
     BootTime bootNow() const { return BootTime(m_now.time_since_epoch()); }
-    void after(Duration wait, std::function<void()> what)
+    void schedule(Duration delay, std::function<void()> action)
     {
-        m_events.push({m_now + wait, ++m_last, std::move(what)});
+        m_events.push({m_now + delay, ++m_lastSequence, std::move(action)});
     }
     void runUntil(TimePoint end)
     {
@@ -38,7 +38,7 @@
             const Event event = m_events.top();
             m_events.pop();
             m_now = event.at;
-            event.what();
+            event.action();
         }
     }
 
@@ -46,20 +46,20 @@
     struct Event
     {
         TimePoint at {};
-        std::uint64_t number = 0;
-        std::function<void()> what;
+        std::uint64_t sequence = 0;
+        std::function<void()> action;
         bool operator<(const Event &other) const
         {
-            return std::tie(other.at, other.number) < std::tie(at, number);
+            return std::tie(other.at, other.sequence) < std::tie(at, sequence);
         }
     };
 
     TimePoint m_now = TimePoint {} + std::chrono::hours(1);
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastSequence = 0;
     std::priority_queue<Event> m_events;
 };
 
-/** The key-value service; counts what it is asked. */
+/** A key-value service that counts the calls for changes. */
 struct FakeStore
 {
     void write(const std::string &key, const std::string &value)
@@ -88,7 +88,7 @@
     }
 
     std::map<std::string, StoredItem> items;
-    std::vector<StoredChange> log; ///< Each item stands at its revision, less one.
+    std::vector<StoredChange> log; ///< The change of revision n is at index n - 1.
     std::uint64_t revision = 0;
     std::size_t lists = 0;
     std::size_t watches = 0;
@@ -96,32 +96,31 @@
 
 class Fleet;
 
-/** A node's copy, without sockets. */
-class CopyingNode
+/** A node that keeps a copy of the store over simulated connections. */
+class SimulatedNode
 {
 public:
-    CopyingNode(Fleet &fleet, NodeEntry entry, std::uint64_t spread, bool isSeed);
+    SimulatedNode(Fleet &fleet, NodeEntry entry, std::uint64_t randomOffset, bool isSeed);
 
     void start();
     const NodeEntry &entry() const { return m_entry; }
     bool isKnown() const { return m_mirror.isKnown(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
-    /** Whose questions it holds. */
-    std::size_t askers() const { return m_askers; }
+    std::size_t openPolls() const { return m_openPolls; }
     void kill() { m_isAlive = false; }
     bool isAlive() const { return m_isAlive; }
 
-    void take(ExchangeNumber exchange, std::uint64_t revision, const std::string &control);
+    void receivePoll(ExchangeNumber exchange, std::uint64_t revision, const std::string &control);
 
 private:
-    void look();
-    void ask();
-    void askStore(const Upstream &upstream);
-    void askPeer(const Upstream &upstream);
-    void answered(const Upstream &upstream, const std::string &body);
-    void succeeded(const Upstream &upstream);
-    void failed(const Upstream &upstream);
-    void tellOthers();
+    void tick();
+    void startNextCall();
+    void requestFromStore(const Upstream &upstream);
+    void requestFromPeer(const Upstream &upstream);
+    void handleResponse(const Upstream &upstream, const std::string &body);
+    void handleSuccess(const Upstream &upstream);
+    void handleFailure(const Upstream &upstream);
+    void sendDueReplies();
 
     Fleet &m_fleet;
     NodeEntry m_entry;
@@ -129,15 +128,15 @@
     NodeRoster m_roster;
     Mirror m_mirror;
     CopyProof m_proof;
-    NewsAnswers m_answers;
-    UpstreamChoice m_choice;
+    MirrorResponder m_responder;
+    UpstreamChoice m_upstreamChoice;
     bool m_isAlive = true;
     bool m_isCurrent = false;
-    TimePoint m_linkFreeAt {};
-    std::size_t m_askers = 0;
+    TimePoint m_linkIdleAt {};
+    std::size_t m_openPolls = 0;
 };
 
-/** Nodes of some domains, their store and the calls between them. */
+/** The nodes, their store and the calls between them. */
 class Fleet
 {
 public:
@@ -152,56 +151,61 @@
         for (int i = 0; i < nodes; ++i) {
             NodeEntry entry;
             entry.name = NodeName("n" + std::to_string(1'000 + i));
-            entry.domain = DomainName(std::to_string(i % Domains));
+            entry.domain = DomainName(std::to_string(i % DomainCount));
             entry.control = entry.name.text() + ":1";
             entry.callers = entry.name.text() + ":2";
-            entry.processors = i < 2 * Domains ? 0.5 : 0.12;
+            entry.processors = i < 2 * DomainCount ? 0.5 : 0.12;
             const bool isSeed = i < 3;
             if (isSeed) {
                 seeds.push_back(entry.control);
             }
-            m_nodes[entry.control] = std::make_unique<CopyingNode>(*this, entry, random(), isSeed);
+            m_nodes[entry.control] =
+                std::make_unique<SimulatedNode>(*this, entry, random(), isSeed);
         }
         for (auto &[control, node] : m_nodes) {
-            time.after(std::chrono::milliseconds(random() % 300), [&node] { node->start(); });
+            simulator.schedule(std::chrono::milliseconds(random() % 300),
+                               [&node] { node->start(); });
         }
     }
 
-    CopyingNode *find(const std::string &control)
+    SimulatedNode *find(const std::string &control)
     {
         const auto it = m_nodes.find(control);
         return it == m_nodes.end() || !it->second->isAlive() ? nullptr : it->second.get();
     }
-    /** When all nodes alive have come to the store's revision; nothing within @p most. */
-    std::optional<Duration> untilAllKnow(Duration most)
+    /**
+     * Runs until all live nodes are at the store's revision.
+     * @return the time that took; nothing if it exceeds @p limit.
+     */
+    std::optional<Duration> runUntilAllCurrent(Duration limit)
     {
-        const TimePoint begun = time.now();
-        const auto knows = [this](const auto &one) {
+        const TimePoint start = simulator.now();
+        const auto isCurrent = [this](const auto &one) {
             return !one.second->isAlive() || one.second->asOf() == store.revision;
         };
-        while (time.now() < begun + most) {
-            time.after(LookEvery, [] {});
-            time.runUntil(time.now() + LookEvery);
-            if (std::ranges::all_of(m_nodes, knows)) {
-                return time.now() - begun;
+        while (simulator.now() < start + limit) {
+            simulator.schedule(TickInterval, [] {});
+            simulator.runUntil(simulator.now() + TickInterval);
+            if (std::ranges::all_of(m_nodes, isCurrent)) {
+                return simulator.now() - start;
             }
         }
         return std::nullopt;
     }
-    const std::map<std::string, std::unique_ptr<CopyingNode>> &nodes() const { return m_nodes; }
-    /** Whom the exchange's answer goes to. */
+    const std::map<std::string, std::unique_ptr<SimulatedNode>> &nodes() const { return m_nodes; }
+    /** Response handlers by exchange. */
     std::map<ExchangeNumber, std::function<void(const std::string &)>> exchanges;
     std::uint64_t lastExchange = 0;
 
-    Timeline time;
+    Simulator simulator;
     FakeStore store;
     std::vector<std::string> seeds;
 
 private:
-    std::map<std::string, std::unique_ptr<CopyingNode>> m_nodes;
+    std::map<std::string, std::unique_ptr<SimulatedNode>> m_nodes;
 };
 
-CopyingNode::CopyingNode(Fleet &fleet, NodeEntry entry, std::uint64_t spread, bool isSeed)
+SimulatedNode::SimulatedNode(Fleet &fleet, NodeEntry entry, std::uint64_t randomOffset, bool isSeed)
     : m_fleet(fleet)
     , m_entry(std::move(entry))
     , m_isSeed(isSeed)
@@ -212,213 +216,213 @@
                        m_roster.announce(key, *decodeNodeEntry(item->value));
                    }
                })
-    , m_answers(m_mirror, m_proof, Fleet::LinkBytesPerSecond, HeldFor)
-    , m_choice(m_entry, spread)
+    , m_responder(m_mirror, m_proof, Fleet::LinkBytesPerSecond, PollDuration)
+    , m_upstreamChoice(m_entry, randomOffset)
 { }
 
-void CopyingNode::start()
+void SimulatedNode::start()
 {
-    m_fleet.time.after(StoreTakes, [this] {
+    m_fleet.simulator.schedule(StoreLatency, [this] {
         m_fleet.store.write("nodes/" + m_entry.name.text(), encodeNodeEntry(m_entry));
     });
-    look();
+    tick();
 }
 
-void CopyingNode::look()
+void SimulatedNode::tick()
 {
     if (!m_isAlive) {
         return;
     }
-    ask();
-    tellOthers();
-    m_fleet.time.after(LookEvery, [this] { look(); });
+    startNextCall();
+    sendDueReplies();
+    m_fleet.simulator.schedule(TickInterval, [this] { tick(); });
 }
 
-void CopyingNode::ask()
+void SimulatedNode::startNextCall()
 {
-    const TimePoint now = m_fleet.time.now();
+    const TimePoint now = m_fleet.simulator.now();
     if (m_mirror.isBusy(now)) {
         return;
     }
-    const bool isLong =
+    const bool isLongListing =
         !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
-    const auto upstream = isLong
-        ? m_choice.chooseForFirstCopy(now, m_roster, m_fleet.seeds, m_isSeed)
-        : m_choice.choose(now, m_roster, m_fleet.seeds);
+    const auto upstream = isLongListing
+        ? m_upstreamChoice.chooseForFirstCopy(now, m_roster, m_fleet.seeds, m_isSeed)
+        : m_upstreamChoice.choose(now, m_roster, m_fleet.seeds);
     if (!upstream) {
         return;
     }
-    upstream->peer ? askPeer(*upstream) : askStore(*upstream);
+    upstream->peer ? requestFromPeer(*upstream) : requestFromStore(*upstream);
 }
 
-void CopyingNode::askStore(const Upstream &upstream)
+void SimulatedNode::requestFromStore(const Upstream &upstream)
 {
     const MirrorCall call = m_mirror.beginStoreCall();
     const auto *list = std::get_if<ListCall>(&call);
     const std::uint64_t since = list ? 0 : std::get<WatchCall>(call).revision;
     const bool hasNews = list || m_fleet.store.revision > since;
     const std::optional<std::string> after = list ? std::optional(list->after) : std::nullopt;
-    m_fleet.time.after(hasNews ? StoreTakes : HeldFor, [this, upstream, after, since] {
-        if (after) {
-            m_mirror.listed(m_fleet.store.page(*after));
-        } else {
-            m_mirror.watched(m_fleet.time.now(), m_fleet.store.changes(since));
-        }
-        m_answers.passOnHeard(m_mirror);
-        succeeded(upstream);
-    });
+    m_fleet.simulator.schedule(
+        hasNews ? StoreLatency : PollDuration, [this, upstream, after, since] {
+            if (after) {
+                m_mirror.listed(m_fleet.store.page(*after));
+            } else {
+                m_mirror.watched(m_fleet.simulator.now(), m_fleet.store.changes(since));
+            }
+            m_responder.addStoreUpdates(m_mirror);
+            handleSuccess(upstream);
+        });
 }
 
-void CopyingNode::askPeer(const Upstream &upstream)
+void SimulatedNode::requestFromPeer(const Upstream &upstream)
 {
     const std::uint64_t revision = m_mirror.beginPeerCall();
     const ExchangeNumber exchange(++m_fleet.lastExchange);
     m_fleet.exchanges[exchange] = [this, upstream](const std::string &body) {
-        answered(upstream, body);
+        handleResponse(upstream, body);
     };
-    m_fleet.time.after(PeerTakes, [this, upstream, revision, exchange] {
-        if (CopyingNode *peer = m_fleet.find(*upstream.peer)) {
-            peer->take(exchange, revision, m_entry.control);
+    m_fleet.simulator.schedule(PeerLatency, [this, upstream, revision, exchange] {
+        if (SimulatedNode *peer = m_fleet.find(*upstream.peer)) {
+            peer->receivePoll(exchange, revision, m_entry.control);
         }
     });
-    m_fleet.time.after(CopyTimeout, [this, upstream, exchange] {
+    m_fleet.simulator.schedule(FullCopyTimeout, [this, upstream, exchange] {
         if (m_fleet.exchanges.erase(exchange) > 0) {
-            failed(upstream);
+            handleFailure(upstream);
         }
     });
 }
 
-void CopyingNode::take(ExchangeNumber exchange, std::uint64_t revision, const std::string &control)
+void SimulatedNode::receivePoll(ExchangeNumber exchange, std::uint64_t revision,
+                                const std::string &control)
 {
-    m_answers.take(exchange, revision, control, m_fleet.time.now(), m_fleet.time.bootNow());
-    ++m_askers;
-    tellOthers();
+    m_responder.addPoll(exchange, revision, control, m_fleet.simulator.now(),
+                        m_fleet.simulator.bootNow());
+    ++m_openPolls;
+    sendDueReplies();
 }
 
-void CopyingNode::tellOthers()
+void SimulatedNode::sendDueReplies()
 {
-    const TimePoint now = m_fleet.time.now();
+    const TimePoint now = m_fleet.simulator.now();
     for (const auto &[exchange, body] :
-         m_answers.due(now, m_fleet.time.bootNow(), m_isCurrent, m_isCurrent)) {
-        --m_askers;
+         m_responder.takeDueReplies(now, m_fleet.simulator.bootNow(), m_isCurrent, m_isCurrent)) {
+        --m_openPolls;
         const std::chrono::duration<double> sending(static_cast<double>(body.size())
                                                     / Fleet::LinkBytesPerSecond);
-        m_linkFreeAt = std::max(m_linkFreeAt, now) + std::chrono::duration_cast<Duration>(sending);
-        m_fleet.time.after(m_linkFreeAt - now + PeerTakes, [this, number = exchange, text = body] {
-            const auto it = m_fleet.exchanges.find(number);
-            if (it != m_fleet.exchanges.end()) {
-                const auto answer = std::move(it->second);
-                m_fleet.exchanges.erase(it);
-                answer(text);
-            }
-        });
+        m_linkIdleAt = std::max(m_linkIdleAt, now) + std::chrono::duration_cast<Duration>(sending);
+        m_fleet.simulator.schedule(m_linkIdleAt - now + PeerLatency,
+                                   [this, number = exchange, text = body] {
+                                       const auto it = m_fleet.exchanges.find(number);
+                                       if (it != m_fleet.exchanges.end()) {
+                                           const auto handler = std::move(it->second);
+                                           m_fleet.exchanges.erase(it);
+                                           handler(text);
+                                       }
+                                   });
     }
 }
 
-void CopyingNode::answered(const Upstream &upstream, const std::string &body)
+void SimulatedNode::handleResponse(const Upstream &upstream, const std::string &body)
 {
-    const auto answer = decodeAnswer(body);
-    if (body.empty() || !answer) {
-        failed(upstream);
+    const auto response = decodeResponse(body);
+    if (body.empty() || !response) {
+        handleFailure(upstream);
         return;
     }
-    for (const std::string &block : answer->blocks) {
+    for (const std::string &block : response->blocks) {
         const auto news = decodeNews(block);
         CPPUNIT_ASSERT(news.has_value());
         CPPUNIT_ASSERT(m_mirror.told(*news));
-        m_answers.passOn(
+        m_responder.addPeerUpdate(
             {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(block)});
     }
     m_mirror.peerAnswered();
     if (!m_mirror.isKnown()) {
-        m_choice.referred(m_fleet.time.now(), upstream, answer->elsewhere);
-        ask();
+        m_upstreamChoice.referred(m_fleet.simulator.now(), upstream, response->alternativePeers);
+        startNextCall();
         return;
     }
-    succeeded(upstream);
+    handleSuccess(upstream);
 }
 
-void CopyingNode::succeeded(const Upstream &upstream)
+void SimulatedNode::handleSuccess(const Upstream &upstream)
 {
-    m_choice.succeeded(upstream);
+    m_upstreamChoice.succeeded(upstream);
     m_isCurrent = true;
-    tellOthers();
-    ask();
+    sendDueReplies();
+    startNextCall();
 }
 
-void CopyingNode::failed(const Upstream &upstream)
+void SimulatedNode::handleFailure(const Upstream &upstream)
 {
-    m_mirror.failed(m_fleet.time.now(), StoreFault::Unanswered);
-    m_choice.failed(m_fleet.time.now(), upstream);
+    m_mirror.failed(m_fleet.simulator.now(), StoreFault::Unanswered);
+    m_upstreamChoice.failed(m_fleet.simulator.now(), upstream);
     m_isCurrent = false;
 }
 
 } // namespace
 
-/** All nodes of a fleet start at once before a store that holds many servers. */
+/** Simulates a fleet whose nodes all start at the same time with a store of many items. */
 class FirstCopyReplayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FirstCopyReplayTest);
-    CPPUNIT_TEST(aLossOfAllListsTheStoreAFewTimes);
-    CPPUNIT_TEST(changesReachAllThroughTheTree);
-    CPPUNIT_TEST(theLossOfTheFirstNodesDelaysLittle);
+    CPPUNIT_TEST(fullRestartListsTheStoreOnAFewNodesOnly);
+    CPPUNIT_TEST(changesReachAllNodesThroughPeers);
+    CPPUNIT_TEST(lossOfWatchersDelaysChangesBriefly);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /**
-     * Guards against a start at which each node lists the whole store: the calls must grow with
-     * the items for a few nodes, and for the others not at all.
-     */
-    void aLossOfAllListsTheStoreAFewTimes()
+    /** Guards against a start at which each node lists the whole store. */
+    void fullRestartListsTheStoreOnAFewNodesOnly()
     {
         for (const int nodes : {100, 200}) {
             Fleet fleet(nodes, nodes * 10);
-            const auto took = fleet.untilAllKnow(std::chrono::seconds(12));
-            CPPUNIT_ASSERT(took.has_value());
-            CPPUNIT_ASSERT(*took < std::chrono::seconds(5));
+            const auto elapsed = fleet.runUntilAllCurrent(std::chrono::seconds(12));
+            CPPUNIT_ASSERT(elapsed.has_value());
+            CPPUNIT_ASSERT(*elapsed < std::chrono::seconds(5));
             const std::size_t pages = fleet.store.items.size() / PageItems + 1;
-            constexpr std::size_t OwnPages = 2;
-            CPPUNIT_ASSERT(fleet.store.lists <= static_cast<std::size_t>(nodes) * OwnPages
+            constexpr std::size_t MaxOwnPages = 2;
+            CPPUNIT_ASSERT(fleet.store.lists <= static_cast<std::size_t>(nodes) * MaxOwnPages
                                + fleet.seeds.size() * pages);
         }
     }
 
-    /** Guards against a node whose link and memory are taken up by those that ask it for news. */
-    void changesReachAllThroughTheTree()
+    /** Guards against a node that is overloaded by the polls of its peers. */
+    void changesReachAllNodesThroughPeers()
     {
         Fleet fleet(200, 600);
-        CPPUNIT_ASSERT(fleet.untilAllKnow(std::chrono::seconds(12)).has_value());
-        // Those who have failed at the start come back to their places.
-        fleet.time.runUntil(fleet.time.now() + std::chrono::seconds(10));
+        CPPUNIT_ASSERT(fleet.runUntilAllCurrent(std::chrono::seconds(12)).has_value());
+        // Nodes avoided after a failure at the start are used again.
+        fleet.simulator.runUntil(fleet.simulator.now() + std::chrono::seconds(10));
         const std::size_t watches = fleet.store.watches;
-        constexpr std::size_t MostBelow = 16;
+        constexpr std::size_t MaxOpenPolls = 16;
         for (const auto &[control, node] : fleet.nodes()) {
-            CPPUNIT_ASSERT(node->askers() <= MostBelow);
+            CPPUNIT_ASSERT(node->openPolls() <= MaxOpenPolls);
         }
         for (int i = 0; i < 100; ++i) {
             fleet.store.write("servers/" + std::to_string(i), "another state");
         }
-        const auto took = fleet.untilAllKnow(std::chrono::seconds(5));
-        CPPUNIT_ASSERT(took.has_value());
-        CPPUNIT_ASSERT(*took <= std::chrono::milliseconds(1500));
-        CPPUNIT_ASSERT(fleet.store.watches - watches <= 4 * Domains);
+        const auto elapsed = fleet.runUntilAllCurrent(std::chrono::seconds(5));
+        CPPUNIT_ASSERT(elapsed.has_value());
+        CPPUNIT_ASSERT(*elapsed <= std::chrono::milliseconds(1500));
+        CPPUNIT_ASSERT(fleet.store.watches - watches <= 4 * DomainCount);
     }
 
-    /** Guards against the loss of a domain's first node by which all others of it turn elsewhere.
-     */
-    void theLossOfTheFirstNodesDelaysLittle()
+    /** Guards against a failover in which all nodes of a domain turn to the store. */
+    void lossOfWatchersDelaysChangesBriefly()
     {
         Fleet fleet(200, 600);
-        CPPUNIT_ASSERT(fleet.untilAllKnow(std::chrono::seconds(12)).has_value());
-        for (int i = 0; i < Domains; ++i) {
+        CPPUNIT_ASSERT(fleet.runUntilAllCurrent(std::chrono::seconds(12)).has_value());
+        for (int i = 0; i < DomainCount; ++i) {
             fleet.find("n" + std::to_string(1'000 + i) + ":1")->kill();
         }
         const std::size_t watches = fleet.store.watches;
         fleet.store.write("servers/1", "gone");
-        const auto took = fleet.untilAllKnow(std::chrono::seconds(12));
-        CPPUNIT_ASSERT(took.has_value());
-        CPPUNIT_ASSERT(*took <= CopyTimeout + std::chrono::milliseconds(1500));
-        CPPUNIT_ASSERT(fleet.store.watches - watches <= 20 * Domains);
+        const auto elapsed = fleet.runUntilAllCurrent(std::chrono::seconds(12));
+        CPPUNIT_ASSERT(elapsed.has_value());
+        CPPUNIT_ASSERT(*elapsed <= FullCopyTimeout + std::chrono::milliseconds(1500));
+        CPPUNIT_ASSERT(fleet.store.watches - watches <= 20 * DomainCount);
     }
 };
 
--- a/tests/edge/mirrorexchangetest.cpp
+++ b/tests/edge/mirrorexchangetest.cpp
@@ -18,15 +18,15 @@
 class MirrorExchangeTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MirrorExchangeTest);
-    CPPUNIT_TEST(newsSurviveTheirEncoding);
-    CPPUNIT_TEST(anyNewsSurviveTheirEncoding);
-    CPPUNIT_TEST(answersSurviveTheirEncoding);
-    CPPUNIT_TEST(newsWithoutAKeyOrAValueAreRefused);
-    CPPUNIT_TEST(damagedBytesAreRefused);
+    CPPUNIT_TEST(newsAreDecodedAsEncoded);
+    CPPUNIT_TEST(arbitraryNewsAreDecodedAsEncoded);
+    CPPUNIT_TEST(responsesAreDecodedAsEncoded);
+    CPPUNIT_TEST(newsWithoutAKeyOrAValueAreRejected);
+    CPPUNIT_TEST(malformedBytesAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsSurviveTheirEncoding()
+    void newsAreDecodedAsEncoded()
     {
         const std::string bytes("\0\xff{\"}", 5);
         const NewsBlock block =
@@ -42,9 +42,9 @@
         CPPUNIT_ASSERT(!decoded->changes.at(1).value);
     }
 
-    void anyNewsSurviveTheirEncoding()
+    void arbitraryNewsAreDecodedAsEncoded()
     {
-        const bool isOk = rc::check("news survive their encoding", [] {
+        const bool isOk = rc::check("arbitrary news are decoded as encoded", [] {
             MirrorNews news;
             news.after = *rc::gen::arbitrary<std::uint64_t>();
             news.asOf = *rc::gen::arbitrary<std::uint64_t>();
@@ -64,46 +64,46 @@
         CPPUNIT_ASSERT(isOk);
     }
 
-    void answersSurviveTheirEncoding()
+    void responsesAreDecodedAsEncoded()
     {
-        MirrorAnswer answer;
-        answer.blocks = {"one", std::string(2, '\0')};
-        answer.age = std::chrono::milliseconds(250);
-        answer.held = std::chrono::milliseconds(3);
-        answer.elsewhere = {"10.0.0.1:1"};
-        const auto decoded = decodeAnswer(encodeAnswer(answer));
+        MirrorResponse response;
+        response.blocks = {"one", std::string(2, '\0')};
+        response.age = std::chrono::milliseconds(250);
+        response.held = std::chrono::milliseconds(3);
+        response.alternativePeers = {"10.0.0.1:1"};
+        const auto decoded = decodeResponse(encodeResponse(response));
         CPPUNIT_ASSERT(decoded.has_value());
-        CPPUNIT_ASSERT(decoded->blocks == answer.blocks);
-        CPPUNIT_ASSERT(decoded->age == answer.age);
-        CPPUNIT_ASSERT(decoded->held == answer.held);
-        CPPUNIT_ASSERT(decoded->elsewhere == answer.elsewhere);
-        CPPUNIT_ASSERT(!decodeAnswer(encodeAnswer({}))->age.has_value());
+        CPPUNIT_ASSERT(decoded->blocks == response.blocks);
+        CPPUNIT_ASSERT(decoded->age == response.age);
+        CPPUNIT_ASSERT(decoded->held == response.held);
+        CPPUNIT_ASSERT(decoded->alternativePeers == response.alternativePeers);
+        CPPUNIT_ASSERT(!decodeResponse(encodeResponse({}))->age.has_value());
     }
 
-    /** Guards against an item without a value that would stand for a removal in a whole copy. */
-    void newsWithoutAKeyOrAValueAreRefused()
+    /** Guards against a full copy in which an item without a value would remove one. */
+    void newsWithoutAKeyOrAValueAreRejected()
     {
         CPPUNIT_ASSERT(!decodeNews(*encodeNews({0, 1, true, {{"a", 1, std::nullopt}}}).bytes));
         CPPUNIT_ASSERT(!decodeNews(*encodeNews({0, 1, false, {{"", 1, "v"}}}).bytes));
     }
 
-    /** Guards against bytes of another version, or cut ones, that end the process. */
-    void damagedBytesAreRefused()
+    /** Guards against a crash by truncated or corrupted bytes. */
+    void malformedBytesAreRejected()
     {
         CPPUNIT_ASSERT(!decodeNews("").has_value());
         CPPUNIT_ASSERT(!decodeNews("[]").has_value());
-        CPPUNIT_ASSERT(!decodeAnswer("").has_value());
-        CPPUNIT_ASSERT(!decodeAnswer("{}").has_value());
-        const bool isOk = rc::check("damaged bytes are read or refused", [] {
+        CPPUNIT_ASSERT(!decodeResponse("").has_value());
+        CPPUNIT_ASSERT(!decodeResponse("{}").has_value());
+        const bool isOk = rc::check("corrupted bytes are decoded or rejected", [] {
             std::string block = *encodeNews({1, 2, false, {{"key", 2, "value"}}}).bytes;
-            std::string answer = encodeAnswer({{block}, Duration(1), Duration(2), {"a:1"}});
-            for (std::string *bytes : {&block, &answer}) {
+            std::string response = encodeResponse({{block}, Duration(1), Duration(2), {"a:1"}});
+            for (std::string *bytes : {&block, &response}) {
                 const auto place = *rc::gen::inRange<std::size_t>(0, bytes->size());
                 (*bytes)[place] = *rc::gen::arbitrary<char>();
                 bytes->resize(*rc::gen::inRange<std::size_t>(0, bytes->size() + 1));
             }
             decodeNews(block);
-            decodeAnswer(answer);
+            decodeResponse(response);
         });
         CPPUNIT_ASSERT(isOk);
     }
--- a/tests/processes/edge.sh
+++ b/tests/processes/edge.sh
@@ -1,47 +1,50 @@
 #!/usr/bin/env bash
-# Two nodes of indigoway-edge on a stand-in of the platform, as callers and operators see them:
-# requests served, bad ones refused, changes in force, a killed node left out, a leaving node that
-# cuts nothing, and no engine memory held at the end.
+# Runs indigoway-edge nodes on a platform stand-in. Guards against lost or repeated requests and
+# leaked engine memory when the desired state changes, the store fails, or a node leaves or dies.
 . "$(dirname "$0")/edgecommon.sh"
 
 start_edge n1
 start_edge n2
 for node in n1 n2; do wait_for "$node to be ready" ready $node || fail "$node is not ready"; done
-wait_for "n1 to name n2" named n1 n2 || fail "n2 is not named"
+wait_for "n1 to list n2" lists_node n1 n2 || fail "n1 does not list n2"
 
-[ "$(call n1 /plain/a id-1 -d hello)" = 200 ] || fail "a plain request"
-grep -q 'POST /plain/a hello' "$RUN/body" || fail "not the server's answer"
+[ "$(call n1 /plain/a id-1 -d hello)" = 200 ] || fail "a plain request was not served"
+grep -q 'POST /plain/a hello' "$RUN/body" || fail "the body is not the server's answer"
 TOKENS=(-H 'Indigoway-Token-Count: 1000,100' -H 'Indigoway-Model-Id: m' -d prompt)
-[ "$(call n2 /stream/a id-2 "${TOKENS[@]}")" = 200 ] || fail "a stream"
-[ "$(grep -c 'data: token' "$RUN/body")" = 6 ] || fail "not all events: $(cat "$RUN/body")"
-[ "$(call n1 /nowhere/a id-3)" = 404 ] || fail "an unknown path"
+[ "$(call n2 /stream/a id-2 "${TOKENS[@]}")" = 200 ] || fail "a stream was not served"
+[ "$(grep -c 'data: token' "$RUN/body")" = 6 ] || fail "the stream lacks events: $(cat "$RUN/body")"
+[ "$(call n1 /nowhere/a id-3)" = 404 ] || fail "an unknown path did not give 404"
 [ "$(call n1 /plain/a id-4 -H 'Content-Length: 1' -H 'Transfer-Encoding: chunked' -d ab)" = 400 ] \
-    || fail "two framings are not refused"
-[ "$(call n1 /plain/a id-5 --data-binary @<(head -c 200000 /dev/zero))" = 413 ] || fail "a large body"
+    || fail "a request with two framings did not give 400"
+[ "$(call n1 /plain/a id-5 --data-binary @<(head -c 200000 /dev/zero))" = 413 ] \
+    || fail "a body above the size limit did not give 413"
 
-# A change is in force on both nodes; one that was removed is not found any more.
+# A routing change is applied on both nodes.
 control platform '{"version":2,"prefix":"/extra/"}'
 extra() { [ "$(call "$1" /extra/a "id-x$RANDOM")" = 200 ]; }
-for node in n1 n2; do wait_for "the change on $node" extra $node || fail "no change on $node"; done
+for node in n1 n2; do
+    wait_for "the routing change on $node" extra $node || fail "$node does not apply the routing change"
+done
 
-# A draining server gets nothing new.
+# A draining server gets no new requests.
 control platform '{"drain":"w-1"}'
 drained() { grep -q '"server":"w-1@[0-9]*".*"draining":"yes"' "$RUN/$1.out"; }
-for node in n1 n2; do wait_for "$node to see the drain" drained $node || fail "no drain on $node"; done
+for node in n1 n2; do wait_for "the drain on $node" drained $node || fail "$node does not log the drain"; done
 for i in 1 2 3 4 5 6; do
-    [ "$(call n1 /plain/a id-d$i -D "$RUN/head")" = 200 ] || fail "a request while a server drains"
-    grep -q 'stamp-w-2' "$RUN/head" || fail "a draining server was used"
+    [ "$(call n1 /plain/a id-d$i -D "$RUN/head")" = 200 ] || fail "a request was not served while a server drains"
+    grep -q 'stamp-w-2' "$RUN/head" || fail "a draining server got a new request"
 done
 
-# The store is away: what is known stays in force.
+# During an outage of the store, nodes serve by the last known state.
 control platform '{"down":true}'
-wait_for "n1 to notice" grep -q store_copy_call_failed "$RUN/n1.out" || fail "outage not noticed"
-[ "$(call n1 /plain/a id-6)" = 200 ] || fail "a request while the store is away"
+wait_for "n1 to detect the outage" grep -q store_copy_call_failed "$RUN/n1.out" \
+    || fail "n1 does not log the outage of the store"
+[ "$(call n1 /plain/a id-6)" = 200 ] || fail "a request was not served during the store's outage"
 control platform '{"down":false}'
-wait_for "n1 to be current again" sh -c "tail -n 50 $RUN/n1.out | grep -q store_copy_current" \
-    || fail "not current again"
+wait_for "n1's copy to be current" sh -c "tail -n 50 $RUN/n1.out | grep -q store_copy_current" \
+    || fail "n1's copy is not current after the outage"
 
-# A node told to leave in the middle of a stream: the stream ends whole, the process with 0.
+# A node that leaves during a stream completes it and exits with 0.
 call n2 /stream/a id-7 "${TOKENS[@]}" >"$RUN/status" &
 STREAM=$!
 open() { curl -s "http://${ADDRESSES[n2.metrics]}/metrics" | grep -q '^indigoway_requests_open [1-9]'; }
@@ -50,29 +53,29 @@
 unready() { ! ready n2; }
 wait_for "n2 not to be ready" unready || fail "a leaving node is ready"
 wait $STREAM
-[ "$(cat "$RUN/status")" = 200 ] || fail "the stream of a leaving node: $(cat "$RUN/status")"
-[ "$(grep -c 'data: token' "$RUN/body")" = 6 ] || fail "the stream of a leaving node was cut"
-wait "${PIDS[n2]}" || fail "the leaving node did not end with 0"
-unnamed() { ! named n1 n2; }
-wait_for "n1 not to name n2" unnamed || fail "a node that left is still named"
+[ "$(cat "$RUN/status")" = 200 ] || fail "the stream of a leaving node ended with $(cat "$RUN/status")"
+[ "$(grep -c 'data: token' "$RUN/body")" = 6 ] || fail "the stream of a leaving node lacks events"
+wait "${PIDS[n2]}" || fail "the leaving node did not exit with 0"
+omits_n2() { ! lists_node n1 n2; }
+wait_for "n1 not to list n2" omits_n2 || fail "n1 still lists a node that left"
 
-# A killed node vanishes with its lease; a new one comes at another address.
+# A killed node is removed from the list when its lease expires.
 start_edge n3
 wait_for "n3 to be ready" ready n3 || fail "n3 is not ready"
-wait_for "n1 to name n3" named n1 n3 || fail "n3 is not named"
+wait_for "n1 to list n3" lists_node n1 n3 || fail "n1 does not list n3"
 kill -KILL "${PIDS[n3]}"
-gone() { ! named n1 n3; }
-wait_for "n1 not to name n3" gone || fail "a killed node is still named"
+omits_n3() { ! lists_node n1 n3; }
+wait_for "n1 not to list n3" omits_n3 || fail "n1 still lists a killed node"
 
-# Nothing is held, and nothing ran twice.
+# No engine memory is leaked, and no request ran twice.
 clean() { [ "$(held platform)" = 0 ]; }
-wait_for "nothing to be held" clean || fail "engine memory is held: $(held platform)"
+wait_for "engine memory to be freed" clean || fail "engine memory is held: $(held platform)"
 curl -s "http://${ADDRESSES[platform]}/control" | grep -Eq '"id-[0-9]+":[2-9]' && fail "a request ran twice"
 curl -s "http://${ADDRESSES[n1.metrics]}/metrics" | grep -q 'indigoway_requests_total{sort="plain",outcome="served"}' \
-    || fail "no metrics"
+    || fail "the metrics lack the served requests"
 
-# docs/OPERATIONS.md: from a request's id to its cause. Each line it names is there, with its fields.
-line() { grep -h "\"kind\":\"$1\"" "$RUN"/n?.out | grep -E "$2" | grep -Eq "$3" || fail "no line $1 $2 $3"; }
+# The log has each line that docs/OPERATIONS.md describes, with its fields.
+line() { grep -h "\"kind\":\"$1\"" "$RUN"/n?.out | grep -E "$2" | grep -Eq "$3" || fail "no log line $1 $2 $3"; }
 line request_end '"request":"id-1"' 'outcome=served route=plain routes_version=1 .* runs=1 server=w-'
 line request_end '"request":"id-2"' 'room_after_ms=[0-9]+ prefilled_after_ms=[0-9]+ first_after_ms=[0-9]+'
 line request_unserved '"request":"id-3"' 'status=404 .* no route version=1'
@@ -83,18 +86,18 @@
 line leave '"node":"n2"' '"open_requests":"1"'
 for kind in start stop node node_vanished server upstream store_copy_current; do line $kind . .; done
 for kind in $(grep -oE '^\| `[a-z_`, ]+' docs/OPERATIONS.md | grep -oE '[a-z_]+'); do
-    grep -rqE "\"$kind\"" src || fail "docs/OPERATIONS.md names a kind of line that is never written: $kind"
+    grep -rqE "\"$kind\"" src || fail "docs/OPERATIONS.md describes a kind of log line that is never written: $kind"
 done
-# Each line is one JSON object, and no member stands in it twice: readers of JSON keep one of them.
-python3 - "$RUN"/n?.out <<'CHECK' || fail "a log line that cannot be read"
+# Each line is one JSON object without duplicate members.
+python3 - "$RUN"/n?.out <<'CHECK' || fail "a log line is no JSON object or has duplicate members"
 import json, sys
 
-def once(pairs):
+def unique_members(pairs):
     assert len({name for name, _ in pairs}) == len(pairs), pairs
     return dict(pairs)
 
 for path in sys.argv[1:]:
     for line in open(path, encoding="utf-8"):
-        json.loads(line, object_pairs_hook=once)
+        json.loads(line, object_pairs_hook=unique_members)
 CHECK
 echo "OK"
