--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -73,7 +73,7 @@
              m_settings.node.text() + "/" + std::to_string(m_incarnation.value()),
              std::random_device {}())
     , m_scheduling(base, {m_settings.node, m_incarnation}, schedulingDependencies(*this))
-    , m_control(
+    , m_controlServer(
           base, HttpLimits {}, [this](const HttpRequest &request) { handleControl(request); },
           [this](ExchangeNumber exchange) { m_sync.cancelPeerPoll(exchange); })
     , m_metricsServer(
@@ -103,7 +103,7 @@
 {
     const bool isListening =
         listenOn(m_settings.control,
-                 [this](const std::string &address) { return m_control.listenOn(address); })
+                 [this](const std::string &address) { return m_controlServer.listenOn(address); })
         && listenOn(m_settings.callers,
                     [this](const std::string &address) { return m_relay.listenOn(address); })
         && (m_settings.scheduling.empty()
@@ -178,8 +178,9 @@
     dependencies.record = [&node](const std::string &kind, const std::string &detail) {
         node.record(kind, {{"detail", detail}});
     };
-    dependencies.storeWriter = {layout.nodesPrefix + node.m_settings.node.text(), layout.leaderKey,
-                                layout.recordKey, layout.crashesPrefix, dependencies.record};
+    dependencies.storeWriter = {layout.nodesPrefix + node.m_settings.node.text(),
+                                layout.ordersLeaderKey, layout.ordersRecordKey,
+                                layout.crashesPrefix, dependencies.record};
     dependencies.maxCopyAge = maxCopyAge(node.m_settings);
     dependencies.itemChanged = [&node](const std::string &key, const StoredItem *item) {
         node.handleStoreChange(key, item);
@@ -202,8 +203,8 @@
     dependencies.replyToPeer = [&node](ExchangeNumber exchange, const std::string &body) {
         constexpr int Ok = 200;
         constexpr int ServiceUnavailable = 503;
-        node.m_control.reply(exchange, body.empty() ? ServiceUnavailable : Ok,
-                             {{"Content-Type", "application/octet-stream"}}, body);
+        node.m_controlServer.reply(exchange, body.empty() ? ServiceUnavailable : Ok,
+                                   {{"Content-Type", "application/octet-stream"}}, body);
     };
     return dependencies;
 }
@@ -282,7 +283,7 @@
 {
     auto decoded = m_ports.codec->decodeRouting(value);
     if (const auto *fault = std::get_if<DecodeFault>(&decoded)) {
-        record("routing_unreadable", {{"fault", fault->what}});
+        record("routing_unreadable", {{"fault", fault->reason}});
         return;
     }
     auto &state = std::get<RoutingState>(decoded);
@@ -328,7 +329,7 @@
         // An unreadable item gives no address to send requests to.
         m_dispatcher.remove(known);
         record("server_unreadable",
-               {{"instance", instance}, {"before", known.text()}, {"fault", fault->what}});
+               {{"instance", instance}, {"before", known.text()}, {"fault", fault->reason}});
         return;
     }
     auto &server = std::get<AnnouncedServer>(decoded);
@@ -383,7 +384,7 @@
                               std::strtoull(request.parameter("after").c_str(), nullptr, 10),
                               request.parameter("from"));
     } else {
-        m_control.reply(request.exchange, NotFound, {}, "");
+        m_controlServer.reply(request.exchange, NotFound, {}, "");
     }
 }
 
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -93,8 +93,7 @@
     void detectSuspension(TimePoint now);
     /** Logs one line when the first copy of the store is complete. */
     void recordFirstCopy();
-    /** Logs a line when the copy of the store becomes fresh enough to check API keys, or too old.
-     */
+    /** Logs a line when the copy becomes fresh enough to check API keys, or too old. */
     void recordCopyFreshness();
     void recordStoreCallCounts(TimePoint now);
     void stopWhenDrained(TimePoint now);
@@ -111,7 +110,7 @@
     RequestRelay m_relay;
     StateSync m_sync;
     SchedulingEndpoint m_scheduling;
-    HttpServer m_control;
+    HttpServer m_controlServer;
     HttpServer m_metricsServer;
     EventHandle m_timer;
     std::mt19937_64 m_random;
--- a/src/edge/mirrorexchange.cpp
+++ b/src/edge/mirrorexchange.cpp
@@ -193,7 +193,7 @@
     } else {
         packer.pack_nil();
     }
-    packer.pack(std::int64_t {response.held.count()});
+    packer.pack(std::int64_t {response.heldFor.count()});
     for (const auto *list : {&response.blocks, &response.alternativePeers}) {
         packer.pack_array(static_cast<std::uint32_t>(list->size()));
         for (const std::string &one : *list) {
@@ -211,7 +211,7 @@
             if (!members[Age].is_nil()) {
                 response.age = Duration(members[Age].as<std::int64_t>());
             }
-            response.held = Duration(members[HeldFor].as<std::int64_t>());
+            response.heldFor = Duration(members[HeldFor].as<std::int64_t>());
             response.blocks = readList<std::string>(members[Blocks], readBytes);
             response.alternativePeers = readList<std::string>(members[AlternativePeers], readBytes);
             return response;
--- a/src/edge/mirrorexchange.h
+++ b/src/edge/mirrorexchange.h
@@ -16,7 +16,7 @@
     std::vector<std::string> blocks;
     /** Maximum age of a copy that has applied all blocks; nothing: unknown. */
     std::optional<Duration> age = {};
-    Duration held {}; ///< Time from the arrival of the poll to the response.
+    Duration heldFor {}; ///< Time from the arrival of the poll to the response.
     /** Control addresses of nodes that may have a full copy, if this one is too busy to send it. */
     std::vector<std::string> alternativePeers = {};
 };
--- a/src/edge/mirrorresponder.cpp
+++ b/src/edge/mirrorresponder.cpp
@@ -63,7 +63,7 @@
 std::string MirrorResponder::buildResponse(const LongPoll &poll, TimePoint now, BootTime bootNow)
 {
     MirrorResponse response;
-    response.held = bootNow - poll.arrivedAt;
+    response.heldFor = bootNow - poll.arrivedAt;
     if (m_newsLog.needsWhole(poll.revision) && !m_copyTurns.mayBegin(now)) {
         response.alternativePeers = {m_followers.begin(), m_followers.end()};
         return encodeResponse(response);
--- a/src/edge/schedulingendpoint.cpp
+++ b/src/edge/schedulingendpoint.cpp
@@ -30,8 +30,8 @@
                })
     , m_timer(event_new(
           base, -1, 0,
-          [](evutil_socket_t, short, void *exchange) {
-              static_cast<SchedulingEndpoint *>(exchange)->tick();
+          [](evutil_socket_t, short, void *endpoint) {
+              static_cast<SchedulingEndpoint *>(endpoint)->tick();
           },
           this))
 { }
--- a/src/edge/statecodec.h
+++ b/src/edge/statecodec.h
@@ -11,18 +11,18 @@
 /** The reason why an item of the store could not be decoded. */
 struct DecodeFault
 {
-    std::string what;
+    std::string reason;
 };
 
 /** Keys of the items in the store that nodes, operators and backend servers share. */
 struct StoreLayout
 {
-    std::string routingKey;    ///< The desired state of routing, in one item.
-    std::string serversPrefix; ///< One item per backend server, written by it.
-    std::string nodesPrefix;   ///< One item per node, written by it.
-    std::string leaderKey;     ///< Holder of the right to give orders to engines.
-    std::string recordKey;     ///< Written before the first order of all is given.
-    std::string crashesPrefix; ///< Contents that were at crashed servers; see CrashNote.
+    std::string routingKey;      ///< The desired state of routing, in one item.
+    std::string serversPrefix;   ///< One item per backend server, written by it.
+    std::string nodesPrefix;     ///< One item per node, written by it.
+    std::string ordersLeaderKey; ///< Holder of the right to give orders to engines.
+    std::string ordersRecordKey; ///< Written before the first order of all is given.
+    std::string crashesPrefix;   ///< Contents that were at crashed servers; see CrashNote.
 };
 
 /** Decodes the items that operators and backend servers write to the store. */
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -227,7 +227,7 @@
         return;
     }
     if (response.age) {
-        m_proof.told(askedAt, BootClock::now(), response.held, *response.age);
+        m_proof.told(askedAt, BootClock::now(), response.heldFor, *response.age);
     }
     handleCallSuccess(upstream);
 }
@@ -288,7 +288,7 @@
     m_isProofPending = true;
     ++m_callCounts.proofs;
     // Every response has the store's revision; listing one small item is the cheapest call.
-    m_store.list(m_dependencies.storeWriter.leaderKey, {},
+    m_store.list(m_dependencies.storeWriter.ordersLeaderKey, {},
                  [this, interval, askedAt = BootClock::now()](const auto &result) {
                      m_isProofPending = false;
                      if (const auto *page = std::get_if<StoredPage>(&result)) {
--- a/src/edge/storewriter.cpp
+++ b/src/edge/storewriter.cpp
@@ -36,13 +36,13 @@
 void StoreWriter::handleChange(const std::string &key, const std::string *value,
                                std::uint64_t revision, TimePoint now)
 {
-    if (!value && key == m_dependencies.ownKey) {
+    if (!value && key == m_dependencies.nodeKey) {
         m_announcer.entryVanished();
     }
-    if (key == m_dependencies.recordKey && value) {
+    if (key == m_dependencies.ordersRecordKey && value) {
         m_leadership.recordSeen(revision);
     }
-    if (key == m_dependencies.leaderKey) {
+    if (key == m_dependencies.ordersLeaderKey) {
         m_leadership.holderSeen(value, revision, now);
         m_dependencies.record("order_right",
                               "holder=" + (value ? *value : std::string("none"))
@@ -94,7 +94,7 @@
         });
     } else if (const auto *put = std::get_if<PutEntryCall>(&*call)) {
         StoreCommit commit;
-        commit.writes.push_back({m_dependencies.ownKey, encodeNodeEntry(m_self), put->lease});
+        commit.writes.push_back({m_dependencies.nodeKey, encodeNodeEntry(m_self), put->lease});
         ++m_callCounts.writes;
         m_store.commit(commit, [this](const auto &result) {
             if (handleAnnouncementResult(result)) {
@@ -132,8 +132,9 @@
         return;
     }
     StoreCommit commit;
-    commit.conditions.push_back({m_dependencies.leaderKey, 0});
-    commit.writes.push_back({m_dependencies.leaderKey, m_leadership.life(), m_announcer.lease()});
+    commit.conditions.push_back({m_dependencies.ordersLeaderKey, 0});
+    commit.writes.push_back(
+        {m_dependencies.ordersLeaderKey, m_leadership.life(), m_announcer.lease()});
     // The result shows in the copy of the store, even if the response is lost.
     ++m_callCounts.writes;
     m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
@@ -149,9 +150,9 @@
         return;
     }
     StoreCommit commit;
-    commit.conditions.push_back({m_dependencies.leaderKey, m_leadership.revision()});
-    commit.conditions.push_back({m_dependencies.recordKey, 0});
-    commit.writes.push_back({m_dependencies.recordKey, m_leadership.life(), StoreLease()});
+    commit.conditions.push_back({m_dependencies.ordersLeaderKey, m_leadership.revision()});
+    commit.conditions.push_back({m_dependencies.ordersRecordKey, 0});
+    commit.writes.push_back({m_dependencies.ordersRecordKey, m_leadership.life(), StoreLease()});
     ++m_callCounts.writes;
     m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
         if (const auto *fault = std::get_if<StoreFault>(&result)) {
--- a/src/edge/storewriter.h
+++ b/src/edge/storewriter.h
@@ -22,9 +22,9 @@
 
     struct Dependencies
     {
-        std::string ownKey;
-        std::string leaderKey;
-        std::string recordKey;
+        std::string nodeKey;
+        std::string ordersLeaderKey;
+        std::string ordersRecordKey;
         std::string crashesPrefix;
         RecordHandler record;
     };
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -260,10 +260,10 @@
     const MirrorCall call = m_mirror.beginStoreCall();
     const auto *list = std::get_if<ListCall>(&call);
     const std::uint64_t since = list ? 0 : std::get<WatchCall>(call).revision;
-    const bool hasNews = list || m_fleet.store.revision > since;
+    const bool hasUpdate = list || m_fleet.store.revision > since;
     const std::optional<std::string> after = list ? std::optional(list->after) : std::nullopt;
     m_fleet.simulator.schedule(
-        hasNews ? StoreLatency : PollDuration, [this, upstream, after, since] {
+        hasUpdate ? StoreLatency : PollDuration, [this, upstream, after, since] {
             if (after) {
                 m_mirror.listed(m_fleet.store.page(*after));
             } else {
--- a/tests/edge/mirrorexchangetest.cpp
+++ b/tests/edge/mirrorexchangetest.cpp
@@ -69,13 +69,13 @@
         MirrorResponse response;
         response.blocks = {"one", std::string(2, '\0')};
         response.age = std::chrono::milliseconds(250);
-        response.held = std::chrono::milliseconds(3);
+        response.heldFor = std::chrono::milliseconds(3);
         response.alternativePeers = {"10.0.0.1:1"};
         const auto decoded = decodeResponse(encodeResponse(response));
         CPPUNIT_ASSERT(decoded.has_value());
         CPPUNIT_ASSERT(decoded->blocks == response.blocks);
         CPPUNIT_ASSERT(decoded->age == response.age);
-        CPPUNIT_ASSERT(decoded->held == response.held);
+        CPPUNIT_ASSERT(decoded->heldFor == response.heldFor);
         CPPUNIT_ASSERT(decoded->alternativePeers == response.alternativePeers);
         CPPUNIT_ASSERT(!decodeResponse(encodeResponse({}))->age.has_value());
     }
