--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -60,16 +60,17 @@
 
 } // namespace
 
-EdgeNode::EdgeNode(event_base *base, EdgeSettings settings, HttpClient &client, EdgePorts ports)
+EdgeNode::EdgeNode(event_base *base, EdgeSettings settings, HttpClient &client,
+                   PlatformAdapters adapters)
     : m_base(base)
     , m_settings(std::move(settings))
-    , m_ports(std::move(ports))
+    , m_adapters(std::move(adapters))
     , m_incarnation(std::random_device {}())
     , m_log(m_settings.node)
     , m_roster(makeNodeEntry(m_settings))
     , m_dispatcher(makeDispatchSettings(m_settings), present())
-    , m_relay(base, m_dispatcher, *m_ports.dialect, std::random_device {}())
-    , m_sync(base, *m_ports.store, client, syncDependencies(*this, m_ports.layout),
+    , m_relay(base, m_dispatcher, *m_adapters.dialect, std::random_device {}())
+    , m_sync(base, *m_adapters.store, client, syncDependencies(*this, m_adapters.layout),
              m_settings.node.text() + "/" + std::to_string(m_incarnation.value()),
              std::random_device {}())
     , m_scheduling(base, {m_settings.node, m_incarnation}, schedulingDependencies(*this))
@@ -251,15 +252,15 @@
 
 void EdgeNode::handleStoreChange(const std::string &key, const StoredItem *item)
 {
-    if (key == m_ports.layout.routingKey) {
+    if (key == m_adapters.layout.routingKey) {
         if (item) {
             applyRouting(item->value);
         }
-    } else if (key.starts_with(m_ports.layout.serversPrefix)) {
+    } else if (key.starts_with(m_adapters.layout.serversPrefix)) {
         applyServerChange(key, item ? &item->value : nullptr);
-    } else if (key.starts_with(m_ports.layout.nodesPrefix)) {
+    } else if (key.starts_with(m_adapters.layout.nodesPrefix)) {
         applyNodeChange(key, item);
-    } else if (const auto note = crashNoteIn(m_ports.layout.crashesPrefix, key)) {
+    } else if (const auto note = crashNoteIn(m_adapters.layout.crashesPrefix, key)) {
         // An expired note needs no handling: the node's own crash records expire as early.
         if (item) {
             applyCrashNote(*note, item->revision);
@@ -281,7 +282,7 @@
 
 void EdgeNode::applyRouting(const std::string &value)
 {
-    auto decoded = m_ports.codec->decodeRouting(value);
+    auto decoded = m_adapters.codec->decodeRouting(value);
     if (const auto *fault = std::get_if<DecodeFault>(&decoded)) {
         record("routing_unreadable", {{"fault", fault->reason}});
         return;
@@ -317,14 +318,14 @@
 
 void EdgeNode::applyServerChange(const std::string &key, const std::string *value)
 {
-    const std::string instance = key.substr(m_ports.layout.serversPrefix.size());
+    const std::string instance = key.substr(m_adapters.layout.serversPrefix.size());
     const ServerName known = m_dispatcher.servers().nameOf(instance);
     if (!value) {
         m_dispatcher.withdraw(known, present());
         record("server_vanished", {{"server", known.text()}, {"instance", instance}});
         return;
     }
-    auto decoded = m_ports.codec->decodeServer(instance, *value);
+    auto decoded = m_adapters.codec->decodeServer(instance, *value);
     if (const auto *fault = std::get_if<DecodeFault>(&decoded)) {
         // An unreadable item gives no address to send requests to.
         m_dispatcher.remove(known);
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -23,7 +23,7 @@
 namespace indigoway {
 
 /** The platform-specific parts of a node. */
-struct EdgePorts
+struct PlatformAdapters
 {
     const Dialect *dialect = nullptr;
     const StateCodec *codec = nullptr;
@@ -35,7 +35,8 @@
 class EdgeNode
 {
 public:
-    EdgeNode(event_base *base, EdgeSettings settings, HttpClient &client, EdgePorts ports);
+    EdgeNode(event_base *base, EdgeSettings settings, HttpClient &client,
+             PlatformAdapters adapters);
     EdgeNode(const EdgeNode &) = delete;
     EdgeNode &operator=(const EdgeNode &) = delete;
 
@@ -101,7 +102,7 @@
 
     event_base *m_base;
     EdgeSettings m_settings;
-    EdgePorts m_ports;
+    PlatformAdapters m_adapters;
     Incarnation m_incarnation;
     StructuredLog m_log;
     EdgeMetrics m_metrics;
