--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -158,7 +158,7 @@
 void EdgeNode::reload(const EdgeSettings &settings)
 {
     m_settings.peers = settings.peers;
-    m_settings.listKept = settings.listKept;
+    m_settings.nodeListTtl = settings.nodeListTtl;
     record("reload", {{"peers", std::to_string(settings.peers.size())}});
 }
 
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -67,7 +67,7 @@
     /** Returns at most @p maxCount addresses of nodes that serve callers. */
     std::vector<std::string> callerAddresses(std::size_t maxCount);
     /** Returns how long callers may cache a list of nodes. */
-    Duration listKept() const { return m_settings.listKept; }
+    Duration nodeListTtl() const { return m_settings.nodeListTtl; }
 
 private:
     static StateSync::Dependencies syncDependencies(EdgeNode &node, const StoreLayout &layout);
--- a/src/edge/edgesettings.cpp
+++ b/src/edge/edgesettings.cpp
@@ -167,7 +167,7 @@
         checkedNotNegative("quota_over", absl::GetFlag(FLAGS_quota_over), invalid);
     settings.quotaSlack =
         checkedNotNegative("quota_slack", absl::GetFlag(FLAGS_quota_slack), invalid);
-    settings.listKept = durationFromSeconds(
+    settings.nodeListTtl = durationFromSeconds(
         checkedPositive("list_kept_s", absl::GetFlag(FLAGS_list_kept_s), invalid));
     if (!invalid.faults.empty()) {
         return invalid;
--- a/src/edge/edgesettings.h
+++ b/src/edge/edgesettings.h
@@ -36,7 +36,7 @@
     Duration quotaWindow {};
     double quotaOverRatio = 0; ///< Excess per window as a fraction of the quota.
     double quotaSlack = 0;     ///< Further excess per window, in units of the quota.
-    Duration listKept {};      ///< How long callers may cache a list of nodes.
+    Duration nodeListTtl {};   ///< How long callers may cache a list of nodes.
     bool operator==(const EdgeSettings &) const = default;
 };
 
