--- a/src/edge/mirrorexchange.cpp
+++ b/src/edge/mirrorcodec.cpp
@@ -1,4 +1,4 @@
-#include "mirrorexchange.h"
+#include "mirrorcodec.h"
 
 #include <msgpack.hpp>
 #include <zstd.h>
--- a/src/edge/mirrorresponder.h
+++ b/src/edge/mirrorresponder.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "edge/mirrorexchange.h"
+#include "edge/mirrorcodec.h"
 #include "http/httpserver.h"
 #include "store/copyproof.h"
 #include "store/copyturns.h"
--- a/tests/edge/mirrorexchangetest.cpp
+++ b/tests/edge/mirrorcodectest.cpp
@@ -1,4 +1,4 @@
-#include "edge/mirrorexchange.h"
+#include "edge/mirrorcodec.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -15,9 +15,9 @@
 
 } // namespace
 
-class MirrorExchangeTest : public CppUnit::TestFixture
+class MirrorCodecTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(MirrorExchangeTest);
+    CPPUNIT_TEST_SUITE(MirrorCodecTest);
     CPPUNIT_TEST(newsAreDecodedAsEncoded);
     CPPUNIT_TEST(arbitraryNewsAreDecodedAsEncoded);
     CPPUNIT_TEST(responsesAreDecodedAsEncoded);
@@ -109,4 +109,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MirrorExchangeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MirrorCodecTest);
--- a/tests/store/newslogtest.cpp
+++ b/tests/store/newslogtest.cpp
@@ -1,6 +1,6 @@
 #include "store/newslog.h"
 
-#include "edge/mirrorexchange.h"
+#include "edge/mirrorcodec.h"
 #include "store/copyturns.h"
 #include "store/mirror.h"
 
