--- a/src/edge/storewriter.h
+++ b/src/edge/storewriter.h
@@ -55,7 +55,7 @@
     /** Retries the failed calls at once, since the store has answered this or another node. */
     void storeIsBack(TimePoint now);
     /** Stops giving orders until the next renewal, after this process was suspended. */
-    void handleSuspension(TimePoint now) { m_leadership.stoodStill(now); }
+    void handleSuspension(TimePoint now) { m_leadership.handleSuspension(now); }
 
     bool isAnnounced() const { return m_announcer.isAnnounced(); }
     bool holdsOrderRight() const { return m_leadership.isHeldByThis(); }
--- a/src/fleet/leadership.cpp
+++ b/src/fleet/leadership.cpp
@@ -45,7 +45,7 @@
 std::optional<std::uint64_t> Leadership::token(TimePoint now, TimePoint renewedAt) const
 {
     if (!m_isMine || m_recordAt == 0 || now > renewedAt + ActsAfterRenewal
-        || renewedAt <= m_stoodStillAt) {
+        || renewedAt <= m_suspendedAt) {
         return std::nullopt;
     }
     if (m_recordAt < m_revision && now < m_mineSince + WaitBeforeActing) {
--- a/src/fleet/leadership.h
+++ b/src/fleet/leadership.h
@@ -56,7 +56,7 @@
      */
     std::optional<std::uint64_t> token(TimePoint now, TimePoint renewedAt) const;
     /** This process stood still: what it knew is old. It acts again after a new renewal. */
-    void stoodStill(TimePoint now) { m_stoodStillAt = now; }
+    void handleSuspension(TimePoint now) { m_suspendedAt = now; }
 
 private:
     std::string m_life;
@@ -67,7 +67,7 @@
     std::uint64_t m_recordAt = 0; ///< It is written once; 0: not yet.
     TimePoint m_askedAt {};
     TimePoint m_recordAskedAt {};
-    TimePoint m_stoodStillAt {};
+    TimePoint m_suspendedAt {};
 };
 
 } // namespace indigoway
--- a/tests/fleet/leadershiptest.cpp
+++ b/tests/fleet/leadershiptest.cpp
@@ -128,7 +128,7 @@
         Leadership one(Mine);
         one.holderSeen(&Mine, Token, at(0));
         one.recordSeen(Token + 1);
-        one.stoodStill(at(500));
+        one.handleSuspension(at(500));
         CPPUNIT_ASSERT(!one.token(at(510), at(450)));
         CPPUNIT_ASSERT(one.token(at(700), at(600)).has_value());
     }
