--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -249,7 +249,7 @@
     m_proof.copied(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
-        m_storeWriter.storeIsBack(present());
+        m_storeWriter.handleStoreRecovery(present());
         m_dependencies.record("store_copy_current",
                               "from=" + m_upstreamName
                                   + " as_of=" + std::to_string(m_mirror.asOf()));
--- a/src/edge/storewriter.cpp
+++ b/src/edge/storewriter.cpp
@@ -27,10 +27,10 @@
     startPublisherCall();
 }
 
-void StoreWriter::storeIsBack(TimePoint now)
+void StoreWriter::handleStoreRecovery(TimePoint now)
 {
-    m_announcer.storeIsBack(now);
-    m_publisher.storeIsBack(now);
+    m_announcer.handleStoreRecovery(now);
+    m_publisher.handleStoreRecovery(now);
 }
 
 void StoreWriter::handleChange(const std::string &key, const std::string *value,
--- a/src/edge/storewriter.h
+++ b/src/edge/storewriter.h
@@ -53,7 +53,7 @@
     void handleChange(const std::string &key, const std::string *value, std::uint64_t revision,
                       TimePoint now);
     /** Retries the failed calls at once, since the store has answered this or another node. */
-    void storeIsBack(TimePoint now);
+    void handleStoreRecovery(TimePoint now);
     /** Stops giving orders until the next renewal, after this process was suspended. */
     void handleSuspension(TimePoint now) { m_leadership.handleSuspension(now); }
 
--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-void CrashPublisher::storeIsBack(TimePoint now)
+void CrashPublisher::handleStoreRecovery(TimePoint now)
 {
     m_failures = 0;
     m_nextAt = std::min(m_nextAt, now);
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -51,7 +51,7 @@
     void written(TimePoint now);
     void failed(TimePoint now, StoreFault fault);
     /** The store answers again: what failed is due now. */
-    void storeIsBack(TimePoint now);
+    void handleStoreRecovery(TimePoint now);
     std::size_t waiting() const { return m_waiting.size(); }
 
 private:
--- a/src/fleet/nodeannouncer.cpp
+++ b/src/fleet/nodeannouncer.cpp
@@ -83,7 +83,7 @@
     }
 }
 
-void NodeAnnouncer::storeIsBack(TimePoint now)
+void NodeAnnouncer::handleStoreRecovery(TimePoint now)
 {
     if (m_failures > 0) {
         m_failures = 0;
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -49,7 +49,7 @@
     void leaseRenewed(TimePoint now);
     void failed(TimePoint now, StoreFault fault);
     /** The store answers again, as this node or another one has seen: what failed is due now. */
-    void storeIsBack(TimePoint now);
+    void handleStoreRecovery(TimePoint now);
     /** The entry was seen to vanish, though this node has not ended its lease. */
     void entryVanished();
     /** The node leaves: nothing is written any more. The lease to end, if there is one. */
--- a/tests/fleet/crashpublishertest.cpp
+++ b/tests/fleet/crashpublishertest.cpp
@@ -78,7 +78,7 @@
         }
         CPPUNIT_ASSERT(calls >= 5);
         CPPUNIT_ASSERT(calls <= 9);
-        publisher.storeIsBack(at(20'000));
+        publisher.handleStoreRecovery(at(20'000));
         CPPUNIT_ASSERT(publisher.nextCall(at(20'000)));
         publisher.leaseGranted(at(20'004), StoreLease(7));
         publisher.nextCall(at(20'004));
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/noderostertest.cpp
@@ -180,7 +180,7 @@
         }
         CPPUNIT_ASSERT(calls >= 4);
         CPPUNIT_ASSERT(calls <= 7);
-        announcer.storeIsBack(at(time));
+        announcer.handleStoreRecovery(at(time));
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(time))));
     }
 
