--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -24,7 +24,7 @@
 constexpr Duration MinLeaveTime = std::chrono::milliseconds(1500);
 constexpr Duration StoreCallsLogInterval = std::chrono::seconds(10);
 
-TimePoint present()
+TimePoint steadyNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
@@ -32,7 +32,7 @@
 /** Returns the time for which the VM was suspended since its boot. */
 Duration suspendedTime()
 {
-    return BootClock::now().time_since_epoch() - present().time_since_epoch();
+    return BootClock::now().time_since_epoch() - steadyNow().time_since_epoch();
 }
 
 /** Returns the age limit of the copy of the desired state; nothing if there is no limit. */
@@ -68,7 +68,7 @@
     , m_incarnation(std::random_device {}())
     , m_log(m_settings.node)
     , m_roster(makeNodeEntry(m_settings))
-    , m_dispatcher(makeDispatchSettings(m_settings), present())
+    , m_dispatcher(makeDispatchSettings(m_settings), steadyNow())
     , m_relay(base, m_dispatcher, *m_adapters.dialect, std::random_device {}())
     , m_sync(base, *m_adapters.store, client, syncDependencies(*this, m_adapters.layout),
              m_settings.node.text() + "/" + std::to_string(m_incarnation.value()),
@@ -146,7 +146,7 @@
     if (m_leavingSince) {
         return;
     }
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     m_leavingSince = now;
     m_roster.setLeaving();
     m_relay.beginLeaving();
@@ -169,7 +169,7 @@
 
 std::vector<std::string> EdgeNode::callerAddresses(std::size_t maxCount)
 {
-    return m_roster.callerAddresses(present(), maxCount, m_random());
+    return m_roster.callerAddresses(steadyNow(), maxCount, m_random());
 }
 
 StateSync::Dependencies EdgeNode::syncDependencies(EdgeNode &node, const StoreLayout &layout)
@@ -187,7 +187,7 @@
         node.handleStoreChange(key, item);
     };
     dependencies.roster = [&node]() -> const NodeRoster & {
-        node.m_roster.forgetVanished(present());
+        node.m_roster.forgetVanished(steadyNow());
         return node.m_roster;
     };
     dependencies.seeds = [&node] {
@@ -224,7 +224,7 @@
         return scheduling::EngineScheduler::View {node.m_dispatcher.servers(), *routes};
     };
     dependencies.nodeCount = [&node] {
-        return node.m_roster.count(present());
+        return node.m_roster.count(steadyNow());
     };
     dependencies.deliver = [&node](const dispatch::DispatchEvent &answer) {
         node.m_relay.post(answer);
@@ -270,7 +270,7 @@
 
 void EdgeNode::applyCrashNote(const CrashNote &note, std::uint64_t revision)
 {
-    if (!m_dispatcher.crashRecorded(note, revision, present())) {
+    if (!m_dispatcher.crashRecorded(note, revision, steadyNow())) {
         return;
     }
     record("content_refused",
@@ -321,7 +321,7 @@
     const std::string instance = key.substr(m_adapters.layout.serversPrefix.size());
     const ServerName known = m_dispatcher.servers().nameOf(instance);
     if (!value) {
-        m_dispatcher.withdraw(known, present());
+        m_dispatcher.withdraw(known, steadyNow());
         record("server_vanished", {{"server", known.text()}, {"instance", instance}});
         return;
     }
@@ -349,7 +349,7 @@
 void EdgeNode::applyNodeChange(const std::string &key, const StoredItem *item)
 {
     if (!item) {
-        m_roster.withdraw(key, present());
+        m_roster.withdraw(key, steadyNow());
         record("node_vanished", {{"key", key}});
         return;
     }
@@ -419,7 +419,7 @@
         {"store_writes", m_sync.storeCallCounts().writes},
         {"store_proofs", m_sync.storeCallCounts().proofs},
         {"servers_known", m_dispatcher.servers().size()},
-        {"nodes_known", m_roster.count(present())},
+        {"nodes_known", m_roster.count(steadyNow())},
         {"scheduler_waiting", m_scheduling.scheduler().waiting()},
         {"scheduler_granted", m_scheduling.scheduler().granted()},
         {"scheduler_engines_looked", m_scheduling.scheduler().enginesLooked()},
@@ -434,7 +434,7 @@
 
 void EdgeNode::tick()
 {
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     recordFirstCopy();
     recordCopyFreshness();
     detectSuspension(now);
@@ -528,7 +528,7 @@
 
 void EdgeNode::record(const std::string &kind, const std::vector<LogField> &fields)
 {
-    m_log.write(present(), kind, fields);
+    m_log.write(steadyNow(), kind, fields);
 }
 
 } // namespace indigoway
--- a/src/edge/schedulingendpoint.cpp
+++ b/src/edge/schedulingendpoint.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration StateLogInterval = std::chrono::seconds(1);
 
-TimePoint present()
+TimePoint steadyNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
@@ -82,7 +82,7 @@
         return true;
     }
     m_addresses[datagram->from.node] = from;
-    reply(m_scheduler.handle(present(), *view, datagram->from, datagram->message));
+    reply(m_scheduler.handle(steadyNow(), *view, datagram->from, datagram->message));
     armTimer();
     return true;
 }
@@ -99,8 +99,8 @@
         return true;
     }
     m_addresses[datagram->from.node] = from;
-    const auto replies = m_quotaKeeper.handle(present(), {view->routes, m_dependencies.nodeCount()},
-                                              datagram->from, datagram->message);
+    const auto replies = m_quotaKeeper.handle(
+        steadyNow(), {view->routes, m_dependencies.nodeCount()}, datagram->from, datagram->message);
     for (const quotas::KeeperReply &one : replies) {
         const auto it = m_addresses.find(one.to);
         if (it != m_addresses.end()) {
@@ -113,7 +113,7 @@
 void SchedulingEndpoint::tick()
 {
     if (const auto view = m_dependencies.view()) {
-        const TimePoint now = present();
+        const TimePoint now = steadyNow();
         reply(m_scheduler.tick(now, *view));
         recordState(now, *view);
     }
@@ -152,7 +152,7 @@
 
 void SchedulingEndpoint::armTimer()
 {
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     const auto next = m_scheduler.nextTick(now);
     const bool isArmed = event_pending(m_timer.get(), EV_TIMEOUT, nullptr) != 0;
     if (!next || (isArmed && m_timerAt <= *next)) {
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -27,7 +27,7 @@
 /** Short, since requests with API keys are rejected without a recent proof. */
 constexpr Duration ProofRetryDelay = std::chrono::milliseconds(300);
 
-TimePoint present()
+TimePoint steadyNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
@@ -56,7 +56,7 @@
 {
     m_dependencies.self = self;
     m_storeWriter.setSelf(self);
-    m_failoverUntil = present() + FailoverGracePeriod;
+    m_failoverUntil = steadyNow() + FailoverGracePeriod;
     event_add(m_timer.get(), &TickInterval);
     tick();
 }
@@ -93,13 +93,13 @@
 void StateSync::handlePeerPoll(ExchangeNumber exchange, std::uint64_t revision,
                                const std::string &control)
 {
-    m_responder.addPoll(exchange, revision, control, present(), BootClock::now());
+    m_responder.addPoll(exchange, revision, control, steadyNow(), BootClock::now());
     sendDueReplies();
 }
 
 void StateSync::sendDueReplies()
 {
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     const bool mayBecomeCurrent = m_isCurrent || now < m_failoverUntil;
     for (const MirrorResponder::Reply &one :
          m_responder.takeDueReplies(now, BootClock::now(), m_isCurrent, mayBecomeCurrent)) {
@@ -109,13 +109,13 @@
 
 void StateSync::handleChange(const std::string &key, const StoredItem *item, std::uint64_t revision)
 {
-    m_storeWriter.handleChange(key, item ? &item->value : nullptr, revision, present());
+    m_storeWriter.handleChange(key, item ? &item->value : nullptr, revision, steadyNow());
     m_dependencies.itemChanged(key, item);
 }
 
 void StateSync::startNextMirrorCall()
 {
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     if (m_mirror.isBusy(now)) {
         return;
     }
@@ -175,7 +175,7 @@
                           handleCallFailure(upstream, *fault);
                           return;
                       }
-                      m_mirror.watched(present(), std::get<StoredChanges>(result));
+                      m_mirror.watched(steadyNow(), std::get<StoredChanges>(result));
                       m_responder.addStoreUpdates(m_mirror);
                       handleCallSuccess(upstream);
                   });
@@ -222,7 +222,7 @@
     m_mirror.peerAnswered();
     if (!m_mirror.isKnown()) {
         // The peer is too busy to send a full copy, which is no failure.
-        m_upstreamChoice.referred(present(), upstream, response.alternativePeers);
+        m_upstreamChoice.referred(steadyNow(), upstream, response.alternativePeers);
         startNextMirrorCall();
         return;
     }
@@ -249,7 +249,7 @@
     m_proof.copied(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
-        m_storeWriter.handleStoreRecovery(present());
+        m_storeWriter.handleStoreRecovery(steadyNow());
         m_dependencies.record("store_copy_current",
                               "from=" + m_upstreamName
                                   + " as_of=" + std::to_string(m_mirror.asOf()));
@@ -260,13 +260,13 @@
 
 void StateSync::handleCallFailure(const Upstream &upstream, StoreFault fault)
 {
-    m_mirror.failed(present(), fault);
+    m_mirror.failed(steadyNow(), fault);
     if (fault == StoreFault::HistoryGone) {
         m_upstreamChoice.succeeded(upstream);
     } else {
-        m_upstreamChoice.failed(present(), upstream);
+        m_upstreamChoice.failed(steadyNow(), upstream);
         if (std::exchange(m_isCurrent, false)) {
-            m_failoverUntil = present() + FailoverGracePeriod;
+            m_failoverUntil = steadyNow() + FailoverGracePeriod;
         }
         updateStoreWriter();
         sendDueReplies();
@@ -279,7 +279,7 @@
 
 void StateSync::startDueProof()
 {
-    const TimePoint now = present();
+    const TimePoint now = steadyNow();
     const bool followsStore = m_isCurrent && m_upstreamName == StoreName;
     if (!m_dependencies.maxCopyAge || !followsStore || m_isProofPending || now < m_nextProofAt) {
         return;
@@ -293,9 +293,9 @@
                      m_isProofPending = false;
                      if (const auto *page = std::get_if<StoredPage>(&result)) {
                          m_proof.answered(askedAt, page->asOf, m_mirror.asOf());
-                         m_nextProofAt = present() + interval;
+                         m_nextProofAt = steadyNow() + interval;
                      } else {
-                         m_nextProofAt = present() + std::min(ProofRetryDelay, interval);
+                         m_nextProofAt = steadyNow() + std::min(ProofRetryDelay, interval);
                          m_dependencies.record("copy_not_proven",
                                                nameOf(std::get<StoreFault>(result)));
                      }
--- a/src/edge/storewriter.cpp
+++ b/src/edge/storewriter.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-TimePoint present()
+TimePoint steadyNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
@@ -78,7 +78,7 @@
 void StoreWriter::startAnnouncerCall()
 {
     m_announcer.setWanted(m_status.leaseLifetime);
-    const auto call = m_announcer.nextCall(present());
+    const auto call = m_announcer.nextCall(steadyNow());
     if (!call) {
         return;
     }
@@ -86,9 +86,9 @@
         ++m_callCounts.leases;
         m_store.grantLease(grant->lifetime, [this](const auto &result) {
             if (const auto *fault = std::get_if<StoreFault>(&result)) {
-                m_announcer.failed(present(), *fault);
+                m_announcer.failed(steadyNow(), *fault);
             } else {
-                m_announcer.leaseGranted(present(), std::get<GrantedLease>(result));
+                m_announcer.leaseGranted(steadyNow(), std::get<GrantedLease>(result));
             }
             startAnnouncerCall();
         });
@@ -98,7 +98,7 @@
         ++m_callCounts.writes;
         m_store.commit(commit, [this](const auto &result) {
             if (handleAnnouncementResult(result)) {
-                m_announcer.entryWritten(present());
+                m_announcer.entryWritten(steadyNow());
             }
             startAnnouncerCall();
         });
@@ -106,7 +106,7 @@
         ++m_callCounts.renewals;
         m_store.renewLease(std::get<RenewLeaseCall>(*call).lease, [this](const auto &result) {
             if (handleAnnouncementResult(result)) {
-                m_announcer.leaseRenewed(present());
+                m_announcer.leaseRenewed(steadyNow());
             }
             startAnnouncerCall();
         });
@@ -119,7 +119,7 @@
     if (!fault) {
         return true;
     }
-    m_announcer.failed(present(), *fault);
+    m_announcer.failed(steadyNow(), *fault);
     m_dependencies.record("entry_not_kept", nameOf(*fault));
     return false;
 }
@@ -128,7 +128,7 @@
 {
     const bool mayAsk = m_status.isCurrent && m_status.isWatcher && m_announcer.isAnnounced()
         && !m_announcer.lease().isNone();
-    if (!mayAsk || !m_leadership.shouldAcquire(present())) {
+    if (!mayAsk || !m_leadership.shouldAcquire(steadyNow())) {
         return;
     }
     StoreCommit commit;
@@ -146,7 +146,7 @@
 
 void StoreWriter::prepareOrders()
 {
-    if (!m_status.isCurrent || !m_leadership.shouldRecord(present())) {
+    if (!m_status.isCurrent || !m_leadership.shouldRecord(steadyNow())) {
         return;
     }
     StoreCommit commit;
@@ -163,7 +163,7 @@
 
 void StoreWriter::startPublisherCall()
 {
-    const auto call = m_publisher.nextCall(present());
+    const auto call = m_publisher.nextCall(steadyNow());
     if (!call) {
         return;
     }
@@ -176,7 +176,7 @@
         if (const auto *fault = std::get_if<StoreFault>(&result)) {
             handlePublishFailure(*fault);
         } else {
-            m_publisher.leaseGranted(present(), std::get<GrantedLease>(result).lease);
+            m_publisher.leaseGranted(steadyNow(), std::get<GrantedLease>(result).lease);
         }
         startPublisherCall();
     });
@@ -194,7 +194,7 @@
         if (const auto *fault = std::get_if<StoreFault>(&result)) {
             handlePublishFailure(*fault);
         } else {
-            m_publisher.written(present());
+            m_publisher.written(steadyNow());
         }
         startPublisherCall();
     });
@@ -202,7 +202,7 @@
 
 void StoreWriter::handlePublishFailure(StoreFault fault)
 {
-    m_publisher.failed(present(), fault);
+    m_publisher.failed(steadyNow(), fault);
     m_dependencies.record("crash_not_shared",
                           std::string(nameOf(fault))
                               + " waiting=" + std::to_string(m_publisher.waiting()));
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -11,7 +11,7 @@
 /** An answer that is passed on whole is held in memory; none of a plain service is so large. */
 constexpr std::size_t MostHeldBytes = std::size_t {8} * 1024 * 1024;
 
-TimePoint present()
+TimePoint steadyNow()
 {
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
@@ -70,7 +70,7 @@
 
 void RequestRelay::post(const DispatchEvent &event)
 {
-    const DispatchEffects effects = m_dispatcher.reduce(present(), m_random(), event);
+    const DispatchEffects effects = m_dispatcher.reduce(steadyNow(), m_random(), event);
     for (const DispatchEffect &effect : effects) {
         std::visit([this](const auto &one) { run(one); }, effect);
     }
@@ -333,7 +333,7 @@
         event_del(m_timer.get());
         return;
     }
-    const auto wait = std::max(Duration(1), Duration(*next - present()));
+    const auto wait = std::max(Duration(1), Duration(*next - steadyNow()));
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(wait);
     const timeval delay {seconds.count(), (wait - seconds).count()};
     event_add(m_timer.get(), &delay);
