--- a/src/edge/mirrorresponder.h
+++ b/src/edge/mirrorresponder.h
@@ -23,26 +23,25 @@
     struct Reply
     {
         ExchangeNumber exchange;
-        std::string body; ///< Empty: the polling node has to use another upstream.
+        std::string body; ///< Empty: the peer has to use another upstream.
     };
 
     /** @param maxHoldTime How long a poll is held if there are no changes. */
     MirrorResponder(const Mirror &mirror, const CopyProof &proof, double linkBytesPerSecond,
                     Duration maxHoldTime);
 
-    /** Adds a poll of the node at @p control for the changes after @p revision. */
+    /** Adds a poll of the node at @p control for changes after @p revision. */
     void addPoll(ExchangeNumber exchange, std::uint64_t revision, const std::string &control,
                  TimePoint now, BootTime arrivedAt);
     void cancelPoll(ExchangeNumber exchange) { m_polls.erase(exchange); }
-    /** Adds a block received from another node, to be forwarded without encoding it again. */
+    /** Adds a block that another node has sent, as it came. */
     void addPeerUpdate(NewsBlock block) { m_newsLog.add(std::move(block)); }
-    /** Adds the changes that @p mirror has received from the store. */
+    /** Adds what the store has sent the mirror. */
     void addStoreUpdates(Mirror &mirror);
     /**
-     * Removes the polls that can be answered now.
+     * Removes the polls that can be answered, and returns the replies to them.
      * @param isCurrent Whether this node receives the changes of the store.
-     * @param mayBecomeCurrent Whether it does, or may shortly: polls are held meanwhile.
-     * @return the replies to the removed polls.
+     * @param mayBecomeCurrent Whether it does, or may shortly; if so, polls are held.
      */
     std::vector<Reply> takeDueReplies(TimePoint now, BootTime bootNow, bool isCurrent,
                                       bool mayBecomeCurrent);
@@ -53,7 +52,7 @@
         std::uint64_t revision = 0;
         TimePoint deadline {};
         BootTime arrivedAt {};
-        std::string peer; ///< Control address of the polling node.
+        std::string peer; ///< Its control address.
     };
 
     bool hasUpdateFor(const LongPoll &poll) const;
