--- a/src/edge/edgesettings.cpp
+++ b/src/edge/edgesettings.cpp
@@ -23,8 +23,7 @@
           "UDP address (IP:port) for claims on engines while this node is the scheduler; if empty, "
           "the node takes no part in scheduling.");
 ABSL_FLAG(double, processors, 1,
-          "Processors that this VM has; may be fractional. The node with the most schedules the "
-          "engines.");
+          "CPU share of this VM, in processors; the node with the largest schedules the engines.");
 ABSL_FLAG(double, link_mbps, 1000,
           "Bandwidth of this VM's network link in Mbit/s; limits concurrent transfers of full "
           "copies to other nodes.");
@@ -34,11 +33,13 @@
           "is unavailable at the start.");
 ABSL_FLAG(double, ends_within_s, 8,
           "Time limit in seconds from SIGTERM to the exit of the process.");
-ABSL_FLAG(double, retry_ratio, 0.2,
-          "Maximum number of retries in a window, as a fraction of the requests in it.");
+ABSL_FLAG(
+    double, retry_ratio, 0.2,
+    "Maximum number of retries to a service in a window, as a fraction of the requests to it.");
 ABSL_FLAG(double, retry_window_s, 10, "Length of the retry window in seconds.");
 ABSL_FLAG(double, retry_slack, 50,
-          "Number of retries in a window that all nodes together may make beyond the ratio.");
+          "Number of retries to a service in a window that all nodes together may make beyond the "
+          "ratio.");
 ABSL_FLAG(double, key_copy_age_ms, 0,
           "Maximum age in milliseconds of the copy of the desired state that callers' API keys are "
           "checked by: no node accepts a revoked key after this time. 0: no limit.");
--- a/src/edge/edgesettings.h
+++ b/src/edge/edgesettings.h
@@ -22,14 +22,15 @@
     std::string control;            ///< Address for the other nodes.
     std::string metrics;            ///< Address for metrics; empty: not served.
     std::string scheduling;         ///< UDP address for claims on engines; empty: not served.
-    double processors = 0;          ///< Processors that this VM has; may be fractional.
+    double processors = 0;          ///< CPU share of this VM, in processors.
     double linkBytesPerSecond = 0;  ///< Bandwidth of this VM's network link.
     std::string store;              ///< Address of the key-value service.
     std::vector<std::string> peers; ///< Control addresses of some other nodes; may be stale.
     Duration shutdownTimeout {};    ///< From SIGTERM to the process's exit.
-    double retryRatio = 0;          ///< Retries per request in a window.
+    double retryRatio = 0;          ///< Retries per request to a service in a window.
     Duration retryWindow {};
-    std::uint32_t retrySlack = 0; ///< Retries of all nodes per window beyond the ratio.
+    std::uint32_t retrySlack =
+        0; ///< Retries of all nodes to a service in a window beyond the ratio.
     /** Age limit of the copy of the desired state that API keys are checked by; 0: no limit. */
     Duration maxKeyCopyAge {};
     // Bounds on how far an organisation may exceed its quota.
