--- a/src/edge/edgesettings.h
+++ b/src/edge/edgesettings.h
@@ -29,8 +29,7 @@
     Duration shutdownTimeout {};    ///< From SIGTERM to the process's exit.
     double retryRatio = 0;          ///< Retries per request to a service in a window.
     Duration retryWindow {};
-    std::uint32_t retrySlack =
-        0; ///< Retries of all nodes to a service in a window beyond the ratio.
+    std::uint32_t retrySlack = 0; ///< Further retries in a window, by all nodes together.
     /** Age limit of the copy of the desired state that API keys are checked by; 0: no limit. */
     Duration maxKeyCopyAge {};
     // Bounds on how far an organisation may exceed its quota.
