--- a/scripts/check-upgrade.sh
+++ b/scripts/check-upgrade.sh
@@ -16,7 +16,7 @@
 }
 metric() { curl -s "http://${ADDRESSES[$1.metrics]}/metrics" | sed -n "s/^indigoway_$2 //p" | cut -d. -f1; }
 scheduled_by() { grep '"kind":"scheduler"' "$RUN/$1.out" | tail -n 1 | grep -q "\"scheduler\":\"$2\""; }
-learns_from() { grep '"kind":"upstream"' "$RUN/$1.out" | tail -n 1 | grep -q "from=$(listening "$2" '"control":"[^"]*"') "; }
+learns_from() { grep '"kind":"upstream"' "$RUN/$1.out" | tail -n 1 | grep -q "from=$(logged_address "$2" '"control":"[^"]*"') "; }
 serves_extra() { [ "$(call "$1" "/$2/a" "id-$RANDOM$RANDOM")" = 200 ]; }
 waits_for_start() { wait_for "$1 to be ready" ready "$1" || fail "$1 is not ready"; }
 
@@ -40,8 +40,8 @@
 
     BUILD=$second start_edge n2
     waits_for_start n2
-    wait_for "n1 to name n2" named n1 n2 || fail "n1 does not name n2"
-    wait_for "n2 to name n1" named n2 n1 || fail "n2 does not name n1"
+    wait_for "n1 to list n2" lists_node n1 n2 || fail "n1 does not list n2"
+    wait_for "n2 to list n1" lists_node n2 n1 || fail "n2 does not list n1"
     granted_across n2 n1 id-two
     serves n1 id-one || fail "requests through n1 beside n2"
     wait_for "n2 to learn from n1" learns_from n2 n1 || fail "n2 does not learn the store's state from n1"
