--- a/src/edge/edgemetrics.cpp
+++ b/src/edge/edgemetrics.cpp
@@ -107,10 +107,10 @@
                               : std::pair {OrganisationName("(others)"), ended.outcome}];
     }
     const std::size_t sort = ended.isGeneration ? 1 : 0;
-    if (ended.untilFirst.count() > 0) {
-        m_histograms->firstAnswer[sort].add(ended.untilFirst);
+    if (ended.timeToFirstAnswer.count() > 0) {
+        m_histograms->firstAnswer[sort].add(ended.timeToFirstAnswer);
     }
-    m_histograms->total[sort].add(ended.whole);
+    m_histograms->total[sort].add(ended.totalTime);
 }
 
 std::string
--- a/src/edge/edgemetrics.h
+++ b/src/edge/edgemetrics.h
@@ -26,7 +26,7 @@
     EdgeMetrics &operator=(const EdgeMetrics &) = delete;
 
     void add(const dispatch::RequestEnded &ended);
-    void add(const dispatch::RecordDecision &decision) { ++m_decisions[decision.kind]; }
+    void add(const dispatch::LogDecision &decision) { ++m_decisions[decision.kind]; }
     /**
      * Formats all metrics.
      * @param gauges Names, without the "indigoway_" prefix, and current values of further gauges.
