--- a/tests/dispatch/phasebalancetest.cpp
+++ b/tests/dispatch/phasebalancetest.cpp
@@ -23,19 +23,19 @@
     return one;
 }
 
-/** Prompts of 5,200 tokens at 18 us, and some seventy events of 47 ms after each. */
+/** Prompts of 5,200 tokens at 18 us each and about seventy events of 47 ms. */
 const scheduling::GenerationWork Usual {0.125, 16'000};
 
 PhaseBalance usualBalance()
 {
     PhaseBalance balance;
-    balance.learn(ServiceName("llm"), Usual);
+    balance.updateWork(ServiceName("llm"), Usual);
     return balance;
 }
 
 std::uint32_t wanted(std::uint32_t all, std::uint64_t memory, scheduling::GenerationWork work)
 {
-    return PhaseBalance::prefillWanted(all, 0, *service(memory).engine, work);
+    return PhaseBalance::preferredPrefillCount(all, 0, *service(memory).engine, work);
 }
 
 void addEngines(ServerDirectory &servers, const std::string &kind, EnginePhase phase, int count)
@@ -55,25 +55,25 @@
 class PhaseBalanceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PhaseBalanceTest);
-    CPPUNIT_TEST(enginesAreSharedByTheWork);
+    CPPUNIT_TEST(enginesAreDividedByTheWork);
     CPPUNIT_TEST(keepsEnginesOfBothPhases);
-    CPPUNIT_TEST(aSmallGainTurnsNoEngine);
+    CPPUNIT_TEST(smallGainChangesNoEngine);
     CPPUNIT_TEST(longerAnswersNeedMoreDecode);
-    CPPUNIT_TEST(turnsNoEngineBeforeThereIsWorkToGoBy);
-    CPPUNIT_TEST(waitsUntilAllHaveAnnouncedThemselves);
-    CPPUNIT_TEST(aCrashIsNotAShift);
+    CPPUNIT_TEST(changesNoEngineWithoutObservedWork);
+    CPPUNIT_TEST(waitsUntilAllEnginesAreRegistered);
+    CPPUNIT_TEST(crashedEnginesCauseNoOrders);
     CPPUNIT_TEST(ordersComeFromAllDomains);
-    CPPUNIT_TEST(aRefusedOrderLeavesTheEngineInUse);
+    CPPUNIT_TEST(refusedOrderKeepsTheEngineInUse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void enginesAreSharedByTheWork()
+    void enginesAreDividedByTheWork()
     {
         CPPUNIT_ASSERT_EQUAL(3U, wanted(9, 65'205, Usual));
         CPPUNIT_ASSERT_EQUAL(5U, wanted(18, 51'867, Usual));
         const std::uint32_t many = wanted(90, 38'223, Usual);
         CPPUNIT_ASSERT(many > 18 && many < 27);
-        // Of many, fewer are kept free: what prompts vary by evens out.
+        // With more engines the variation of the prompts evens out, so the headroom shrinks.
         CPPUNIT_ASSERT(many < 5 * wanted(18, 38'223, Usual));
     }
 
@@ -84,14 +84,15 @@
         CPPUNIT_ASSERT_EQUAL(2U, wanted(8, 1'000, Usual));
     }
 
-    // The work wavers as it is learnt. An engine that is turned for each wave is away most of the
-    // time.
-    void aSmallGainTurnsNoEngine()
+    // Guards against changes on each fluctuation of the estimated work.
+    void smallGainChangesNoEngine()
     {
         const EngineTraits traits = *service(38'223).engine;
-        const std::uint32_t best = PhaseBalance::prefillWanted(90, 0, traits, Usual);
-        CPPUNIT_ASSERT_EQUAL(best + 1, PhaseBalance::prefillWanted(90, best + 1, traits, Usual));
-        CPPUNIT_ASSERT_EQUAL(best, PhaseBalance::prefillWanted(90, best + 9, traits, Usual));
+        const std::uint32_t best = PhaseBalance::preferredPrefillCount(90, 0, traits, Usual);
+        CPPUNIT_ASSERT_EQUAL(best + 1,
+                             PhaseBalance::preferredPrefillCount(90, best + 1, traits, Usual));
+        CPPUNIT_ASSERT_EQUAL(best,
+                             PhaseBalance::preferredPrefillCount(90, best + 9, traits, Usual));
     }
 
     void longerAnswersNeedMoreDecode()
@@ -99,10 +100,10 @@
         CPPUNIT_ASSERT(wanted(90, 38'223, {0.125, 32'000}) < wanted(90, 38'223, Usual));
     }
 
-    // The traffic has not begun, and nobody knows these engines yet.
-    void turnsNoEngineBeforeThereIsWorkToGoBy()
+    // Without observed work the engines must keep their phases.
+    void changesNoEngineWithoutObservedWork()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 2);
         addEngines(servers, "p", EnginePhase::Prefill, 16);
@@ -110,17 +111,16 @@
         for (int time = 0; time < 60'000; time += 250) {
             CPPUNIT_ASSERT(orders.decide(at(time), service(51'867), servers, balance).empty());
         }
-        balance.learn(ServiceName("llm"), Usual);
+        balance.updateWork(ServiceName("llm"), Usual);
         orders.decide(at(60'000), service(51'867), servers, balance);
         CPPUNIT_ASSERT_EQUAL(std::size_t {11},
                              orders.decide(at(62'000), service(51'867), servers, balance).size());
     }
 
-    // Engines announce themselves one by one over some seconds. An order by the first four of
-    // nine would turn the wrong ones, and each is away for seconds as the traffic begins.
-    void waitsUntilAllHaveAnnouncedThemselves()
+    // Guards against orders before all engines have registered.
+    void waitsUntilAllEnginesAreRegistered()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         int given = 0;
@@ -137,11 +137,10 @@
         CPPUNIT_ASSERT_EQUAL(0, given);
     }
 
-    // Two prefill engines crash and are back after some seconds. Decode engines that were turned
-    // meanwhile would be missing as well, and have to be turned back.
-    void aCrashIsNotAShift()
+    // Guards against orders because of prefill engines that restart after a crash.
+    void crashedEnginesCauseNoOrders()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 12);
@@ -160,7 +159,7 @@
 
     void ordersComeFromAllDomains()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 59);
@@ -178,9 +177,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, counts.size());
     }
 
-    void aRefusedOrderLeavesTheEngineInUse()
+    void refusedOrderKeepsTheEngineInUse()
     {
-        PhaseOrders orders;
+        PhaseOrderPlanner orders;
         const PhaseBalance balance = usualBalance();
         ServerDirectory servers;
         addEngines(servers, "d", EnginePhase::Decode, 12);
@@ -190,7 +189,7 @@
         CPPUNIT_ASSERT(!given.empty());
         const ServerName name = given.front().server->name;
         CPPUNIT_ASSERT(orders.orderedPhase(name) == EnginePhase::Decode);
-        orders.refused(name);
+        orders.cancel(name);
         CPPUNIT_ASSERT(!orders.isChanging(name, at(2'100)));
     }
 };
