--- a/src/scheduling/claimwaits.cpp
+++ b/src/scheduling/claimwaits.cpp
@@ -7,43 +7,44 @@
 namespace {
 
 /**
- * Where the wait settles at what small prompts can just bear, the largest are always hopeless: they
- * take longer to read. So all are held to a wait half way to what the longest prompt of late can
- * bear. In a replayed burst of twice the capacity 26 in 100 of the largest were served without it
- * where 61 of all were.
+ * If claims were accepted up to the wait that short prompts tolerate, the longest would never meet
+ * their target. All claims therefore reserve half of the additional time that the longest recent
+ * prompt needs.
  */
-constexpr double LongestPromptFading = 0.998;
-constexpr Duration MostAllowance = std::chrono::milliseconds(150);
-/** How long a grant is held before one has ended: a prompt read, some seventy events. */
-constexpr double SecondsHeldAtFirst = 3;
-/** Of a sample; some twenty make up the average. */
-constexpr double HeldWeight = 0.05;
+constexpr double LongestPromptDecay = 0.998;
+constexpr Duration MaxAllowance = std::chrono::milliseconds(150);
+/** Used until the first grant has ended. */
+constexpr double InitialHoldSeconds = 3;
+/** Weight of a sample in the moving average. */
+constexpr double HoldTimeWeight = 0.05;
 
 } // namespace
 
-ClaimWaits::ClaimWaits()
-    : m_secondsHeld(SecondsHeldAtFirst)
+WaitEstimator::WaitEstimator()
+    : m_meanHoldSeconds(InitialHoldSeconds)
 { }
 
-void ClaimWaits::addHeld(Duration held)
+void WaitEstimator::addHoldTime(Duration holdTime)
 {
-    const double seconds = std::chrono::duration_cast<std::chrono::duration<double>>(held).count();
-    m_secondsHeld += HeldWeight * (seconds - m_secondsHeld);
+    const double seconds =
+        std::chrono::duration_cast<std::chrono::duration<double>>(holdTime).count();
+    m_meanHoldSeconds += HoldTimeWeight * (seconds - m_meanHoldSeconds);
 }
 
-Duration ClaimWaits::untilFree(double part) const
+Duration WaitEstimator::timeUntilFree(double fraction) const
 {
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(part * m_secondsHeld));
+        std::chrono::duration<double>(fraction * m_meanHoldSeconds));
 }
 
-Duration ClaimWaits::allowanceForLarge(const Claim &claim, const PrefillPace &pace)
+Duration WaitEstimator::longPromptAllowance(const Claim &claim, const PrefillEstimator &estimator)
 {
-    double &longest = m_longestPrompts[claim.service];
-    longest = std::max(longest * LongestPromptFading, static_cast<double>(claim.promptTokens));
-    const Duration more =
-        pace.work(static_cast<std::uint32_t>(longest)) - pace.work(claim.promptTokens);
-    return std::min(more / 2, MostAllowance);
+    double &longestPrompt = m_longestRecentPrompts[claim.service];
+    longestPrompt =
+        std::max(longestPrompt * LongestPromptDecay, static_cast<double>(claim.promptTokens));
+    const Duration allowance = estimator.computeTime(static_cast<std::uint32_t>(longestPrompt))
+        - estimator.computeTime(claim.promptTokens);
+    return std::min(allowance / 2, MaxAllowance);
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/claimwaits.h
+++ b/src/scheduling/claimwaits.h
@@ -7,23 +7,29 @@
 
 namespace indigoway::scheduling {
 
-/** How long claims wait for room, from how long others hold it. */
-class ClaimWaits
+/** Estimates how long claims wait for decode memory, from how long grants hold it. */
+class WaitEstimator
 {
 public:
-    ClaimWaits();
+    WaitEstimator();
 
-    /** What was granted has been held for @p held. */
-    void addHeld(Duration held);
-    /** Until so much of the decode engines' memory has come free; @p part: of all of it. */
-    Duration untilFree(double part) const;
-    /** Time that a claim leaves so that others with longer prompts are not always the hopeless. */
-    Duration allowanceForLarge(const Claim &claim, const PrefillPace &pace);
+    /** Records that a granted claim held its memory for @p holdTime. */
+    void addHoldTime(Duration holdTime);
+    /**
+     * Returns the expected time until memory comes free on the decode engines.
+     * @param fraction Share of all decode memory that has to come free.
+     */
+    Duration timeUntilFree(double fraction) const;
+    /**
+     * Records the prompt length of @p claim and returns the time to subtract from its target, so
+     * that claims with longer prompts can meet theirs as well.
+     */
+    Duration longPromptAllowance(const Claim &claim, const PrefillEstimator &estimator);
 
 private:
-    double m_secondsHeld; ///< Moving average.
-    /** In tokens, of late; fades with each claim. */
-    std::map<ServiceName, double> m_longestPrompts;
+    double m_meanHoldSeconds;
+    /** Longest prompt of each service in tokens, decaying with every claim. */
+    std::map<ServiceName, double> m_longestRecentPrompts;
 };
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/enginechoice.cpp
+++ b/src/scheduling/enginechoice.cpp
@@ -7,80 +7,88 @@
 
 namespace {
 
-/** A prompt is not sent where it would wait longer: decode memory would lie reserved meanwhile. */
-constexpr Duration MostPrefillWait = std::chrono::milliseconds(100);
-/** Moving a KV cache to another failure domain takes longer, and its bytes cost more. */
-constexpr Duration OtherDomainTime = std::chrono::milliseconds(25);
-constexpr double OtherDomainTokens = 1500;
-/** Beyond all lines: a pair that has lost a KV cache is taken again only if there is no other. */
-constexpr Duration LostBeforeTime = std::chrono::seconds(10);
-/** Of the engines; where room is kept on all of them, small claims wait for nothing. */
-constexpr std::size_t KeptPart = 2;
-/** Of a phase: where fewer look sound, the cause lies elsewhere, and so few cannot serve all. */
-constexpr std::size_t LeastSoundPart = 2;
+/**
+ * Longest acceptable prefill queue. A prompt that waits longer would reserve decode memory
+ * meanwhile.
+ */
+constexpr Duration MaxPrefillWait = std::chrono::milliseconds(100);
+/** Cost of a KV cache transfer to another failure domain. */
+constexpr Duration CrossDomainDelay = std::chrono::milliseconds(25);
+constexpr double CrossDomainTokens = 1500;
+/**
+ * Exceeds all queueing delays: a pair whose last transfer failed is used only if there is no other.
+ */
+constexpr Duration FailedPairPenalty = std::chrono::seconds(10);
+/** One in so many engines may be reserved, so that small claims find memory on the others. */
+constexpr std::size_t ReservableDivisor = 2;
+/**
+ * If fewer than one in so many engines of a phase appear healthy, the cause is probably elsewhere,
+ * and all are used.
+ */
+constexpr std::size_t MinHealthyDivisor = 2;
 
 /**
- * Beyond all sound engines: one that fails a part of its requests serves what they have no room
- * for, and fewer callers lose by it than by a refusal.
+ * Exceeds all other scores: an engine that fails some of its requests is used only if no other has
+ * memory, since a refusal would be worse for the caller.
  */
-constexpr double DoubtfulTokens = 1e9;
-constexpr Duration DoubtfulTime = std::chrono::seconds(5);
+constexpr double SuspectTokens = 1e9;
+constexpr Duration SuspectDelay = std::chrono::seconds(5);
 
-/** Those that are @p isSound; all if they are too few. */
-template <typename IsSound>
-std::vector<const AnnouncedServer *> mostOf(const std::vector<const AnnouncedServer *> &all,
-                                            const IsSound &isSound)
+/** Returns the servers for which @p isHealthy holds, or all if those are too few. */
+template <typename IsHealthy>
+std::vector<const AnnouncedServer *> healthyOrAll(const std::vector<const AnnouncedServer *> &all,
+                                                  const IsHealthy &isHealthy)
 {
-    std::vector<const AnnouncedServer *> sound;
-    std::ranges::copy_if(all, std::back_inserter(sound), isSound);
-    return sound.size() * LeastSoundPart < all.size() ? all : sound;
+    std::vector<const AnnouncedServer *> healthy;
+    std::ranges::copy_if(all, std::back_inserter(healthy), isHealthy);
+    return healthy.size() * MinHealthyDivisor < all.size() ? all : healthy;
 }
 
 } // namespace
 
-EngineChoice::EngineChoice(const EngineLedger &ledger, const ServerDirectory &servers,
-                           const Service &service, const ServicePace &pace, TimePoint now,
-                           Limit limit)
-    : m_ledger(ledger)
-    , m_pace(pace)
+EngineSelector::EngineSelector(const EngineTracker &tracker, const ServerDirectory &servers,
+                               const Service &service, const ServiceEstimators &estimators,
+                               TimePoint now, Limit limit)
+    : m_tracker(tracker)
+    , m_estimators(estimators)
     , m_now(now)
     , m_memory(service.engine ? static_cast<double>(service.engine->memoryTokens) : 0)
 {
-    Phases engines;
+    EnginesByPhase engines;
     if (limit < servers.sizeOf(service.name)) {
-        engines = firstEngines(servers, service, limit);
+        engines = limitedEngines(servers, service, limit);
     }
-    // Where none is usable, there may be last resorts.
+    // The full set may contain usable engines, or engines to use as a last resort.
     if (engines.decode.empty() || engines.prefill.empty()) {
         engines = allEngines(servers, service);
     }
-    for (const auto *server : usableDecode(engines.decode)) {
-        MemoryOutlook memory = ledger.memoryOutlook(server->name, pace.decode, now);
+    for (const auto *server : usableDecodeEngines(engines.decode)) {
+        MemoryProjection memory = tracker.memoryProjection(server->name, estimators.decode, now);
         const double peak = memory.peak();
         m_decode.push_back({server, std::move(memory), peak, false});
     }
-    m_prefill = usablePrefill(engines.prefill);
+    m_prefill = usablePrefillEngines(engines.prefill);
 }
 
-EngineChoice::Phases EngineChoice::allEngines(const ServerDirectory &servers,
-                                              const Service &service)
+EngineSelector::EnginesByPhase EngineSelector::allEngines(const ServerDirectory &servers,
+                                                          const Service &service)
 {
-    Phases engines;
+    EnginesByPhase engines;
     for (const EnginePhase announced : {EnginePhase::Prefill, EnginePhase::Decode}) {
         for (const auto *server : servers.candidates(service.name, announced, m_now)) {
-            const bool isDecode = m_ledger.phaseOf(*server, m_now) == EnginePhase::Decode;
+            const bool isDecode = m_tracker.phaseOf(*server, m_now) == EnginePhase::Decode;
             (isDecode ? engines.decode : engines.prefill).push_back(server);
         }
     }
     m_isLimited = false;
-    m_looked += engines.decode.size() + engines.prefill.size();
+    m_examined += engines.decode.size() + engines.prefill.size();
     return engines;
 }
 
-EngineChoice::Phases EngineChoice::firstEngines(const ServerDirectory &servers,
-                                                const Service &service, Limit limit)
+EngineSelector::EnginesByPhase EngineSelector::limitedEngines(const ServerDirectory &servers,
+                                                              const Service &service, Limit limit)
 {
-    Phases engines;
+    EnginesByPhase engines;
     for (const DomainName &domain : servers.domainsOf(service.name)) {
         std::size_t decode = 0;
         std::size_t prefill = 0;
@@ -89,16 +97,16 @@
                 m_isLimited = true;
                 return false;
             }
-            ++m_looked;
+            ++m_examined;
             if (server.phase == EnginePhase::None) {
                 return true;
             }
-            const bool isDecode = m_ledger.phaseOf(server, m_now) == EnginePhase::Decode;
-            std::size_t &taken = isDecode ? decode : prefill;
-            if (taken >= limit) {
+            const bool isDecode = m_tracker.phaseOf(server, m_now) == EnginePhase::Decode;
+            std::size_t &selected = isDecode ? decode : prefill;
+            if (selected >= limit) {
                 m_isLimited = true;
-            } else if (!m_ledger.isOut(server, m_now)) {
-                ++taken;
+            } else if (!m_tracker.isUnavailable(server, m_now)) {
+                ++selected;
                 (isDecode ? engines.decode : engines.prefill).push_back(&server);
             }
             return true;
@@ -107,86 +115,89 @@
     return engines;
 }
 
-EngineChoice::DecodeRoom *EngineChoice::chooseDecode(const Claim &claim)
+EngineSelector::DecodeCandidate *EngineSelector::chooseDecodeEngine(const Claim &claim)
 {
-    return emptiest(claim, [](const DecodeRoom &) { return true; });
+    return leastLoaded(claim, [](const DecodeCandidate &) { return true; });
 }
 
-EngineChoice::DecodeRoom *EngineChoice::chooseWholeRead(const Claim &claim)
+EngineSelector::DecodeCandidate *EngineSelector::chooseLocalPrefillEngine(const Claim &claim)
 {
-    return emptiest(claim, [this](const DecodeRoom &room) {
-        return m_ledger.mayReadWhole(room.server->name, m_now);
+    return leastLoaded(claim, [this](const DecodeCandidate &candidate) {
+        return m_tracker.canPrefillLocally(candidate.server->name, m_now);
     });
 }
 
 template <typename IsUsable>
-EngineChoice::DecodeRoom *EngineChoice::emptiest(const Claim &claim, const IsUsable &isUsable)
+EngineSelector::DecodeCandidate *EngineSelector::leastLoaded(const Claim &claim,
+                                                             const IsUsable &isUsable)
 {
-    DecodeRoom *best = nullptr;
+    DecodeCandidate *best = nullptr;
     double bestScore = 0;
-    for (DecodeRoom &room : m_decode) {
-        if (room.isKept || !isUsable(room)
-            || MemoryForecast::peakWith(room.memory, claim.memory, m_pace.decode) > m_memory
-            || std::ranges::find(claim.without, room.server->name) != claim.without.end()) {
+    for (DecodeCandidate &candidate : m_decode) {
+        if (candidate.isReserved || !isUsable(candidate)
+            || MemoryForecast::peakWith(candidate.memory, claim.memory, m_estimators.decode)
+                > m_memory
+            || std::ranges::find(claim.without, candidate.server->name) != claim.without.end()) {
             continue;
         }
-        const double score = room.peak
-            + (room.server->domain == claim.domain ? 0 : OtherDomainTokens)
-            + (m_ledger.isDoubtful(room.server->name, m_now) ? DoubtfulTokens : 0);
+        const double score = candidate.peak
+            + (candidate.server->domain == claim.domain ? 0 : CrossDomainTokens)
+            + (m_tracker.isSuspect(candidate.server->name, m_now) ? SuspectTokens : 0);
         if (!best || score < bestScore) {
-            best = &room;
+            best = &candidate;
             bestScore = score;
         }
     }
     return best;
 }
 
-void EngineChoice::fill(DecodeRoom &room, const MemoryNeed &need) const
+void EngineSelector::addRun(DecodeCandidate &candidate, const MemoryNeed &need) const
 {
-    MemoryForecast::addTo(room.memory, need, m_pace.decode);
-    room.peak = room.memory.peak();
+    MemoryForecast::addTo(candidate.memory, need, m_estimators.decode);
+    candidate.peak = candidate.memory.peak();
 }
 
-void EngineChoice::keepRoom()
+void EngineSelector::reserveEngine()
 {
-    if (m_kept >= m_decode.size() / KeptPart) {
+    if (m_reservedEngines >= m_decode.size() / ReservableDivisor) {
         return;
     }
-    DecodeRoom *emptiest = nullptr;
-    for (DecodeRoom &room : m_decode) {
-        if (!room.isKept && (!emptiest || room.peak < emptiest->peak)) {
-            emptiest = &room;
+    DecodeCandidate *leastLoaded = nullptr;
+    for (DecodeCandidate &candidate : m_decode) {
+        if (!candidate.isReserved && (!leastLoaded || candidate.peak < leastLoaded->peak)) {
+            leastLoaded = &candidate;
         }
     }
-    if (emptiest) {
-        emptiest->isKept = true;
-        ++m_kept;
+    if (leastLoaded) {
+        leastLoaded->isReserved = true;
+        ++m_reservedEngines;
     }
 }
 
-double EngineChoice::freeFor(const MemoryNeed &need) const
+double EngineSelector::freeMemoryFor(const MemoryNeed &need) const
 {
     double free = 0;
-    for (const DecodeRoom &room : m_decode) {
-        const bool fits = MemoryForecast::peakWith(room.memory, need, m_pace.decode) <= m_memory;
-        free += fits ? m_memory - room.peak : 0;
+    for (const DecodeCandidate &candidate : m_decode) {
+        const bool fits =
+            MemoryForecast::peakWith(candidate.memory, need, m_estimators.decode) <= m_memory;
+        free += fits ? m_memory - candidate.peak : 0;
     }
     return free;
 }
 
-const AnnouncedServer *EngineChoice::choosePrefill(const Claim &claim,
-                                                   const AnnouncedServer &decode) const
+const AnnouncedServer *EngineSelector::choosePrefillEngine(const Claim &claim,
+                                                           const AnnouncedServer &decode) const
 {
     const AnnouncedServer *best = nullptr;
     Duration bestTime {};
     for (const AnnouncedServer *server : m_prefill) {
-        if (m_ledger.prefillWait(server->name, m_now) > MostPrefillWait
+        if (m_tracker.prefillWait(server->name, m_now) > MaxPrefillWait
             || std::ranges::find(claim.without, server->name) != claim.without.end()) {
             continue;
         }
         const Duration time =
-            m_ledger.prefillTime(server->name, claim.promptTokens, m_pace.prefill, m_now)
-            + detour(*server, decode);
+            m_tracker.prefillTime(server->name, claim.promptTokens, m_estimators.prefill, m_now)
+            + pairingPenalty(*server, decode);
         if (!best || time < bestTime) {
             best = server;
             bestTime = time;
@@ -195,63 +206,67 @@
     return best;
 }
 
-Duration EngineChoice::detour(const AnnouncedServer &prefill, const AnnouncedServer &decode) const
+Duration EngineSelector::pairingPenalty(const AnnouncedServer &prefill,
+                                        const AnnouncedServer &decode) const
 {
-    Duration time = prefill.domain == decode.domain ? Duration(0) : OtherDomainTime;
-    if (m_ledger.handovers().haveLost(prefill.name, decode.name, m_now)) {
-        time += LostBeforeTime;
+    Duration time = prefill.domain == decode.domain ? Duration(0) : CrossDomainDelay;
+    if (m_tracker.handovers().haveLost(prefill.name, decode.name, m_now)) {
+        time += FailedPairPenalty;
     }
-    if (m_ledger.isDoubtful(prefill.name, m_now)) {
-        time += DoubtfulTime;
+    if (m_tracker.isSuspect(prefill.name, m_now)) {
+        time += SuspectDelay;
     }
-    if (m_pace.prefill.wantsNext() && m_ledger.wouldFollow(prefill.name, m_now)) {
-        // Until it is known what prompts take of an engine, some are sent after others: each is
-        // read a little later, and without it the split into phases would go by guesses.
-        time -= MostPrefillWait + OtherDomainTime;
+    if (m_estimators.prefill.needsBackToBackSamples()
+        && m_tracker.wouldRunBackToBack(prefill.name, m_now)) {
+        // Queues some prompts behind others to obtain back-to-back samples, which the ratio of
+        // prefill to decode engines is based on. Each is delayed by at most MaxPrefillWait.
+        time -= MaxPrefillWait + CrossDomainDelay;
     }
     return time;
 }
 
-Duration EngineChoice::leastPrefillWait() const
+Duration EngineSelector::leastPrefillWait() const
 {
     Duration least = m_prefill.empty() ? Duration(0) : Duration::max();
     for (const AnnouncedServer *server : m_prefill) {
-        least = std::min(least, m_ledger.prefillWait(server->name, m_now));
+        least = std::min(least, m_tracker.prefillWait(server->name, m_now));
     }
     return least;
 }
 
-Duration EngineChoice::leastPrefillTime(std::uint32_t tokens) const
+Duration EngineSelector::shortestPrefillTime(std::uint32_t tokens) const
 {
     Duration least = m_prefill.empty() ? Duration(0) : Duration::max();
     for (const AnnouncedServer *server : m_prefill) {
-        least = std::min(least, m_ledger.prefillTime(server->name, tokens, m_pace.prefill, m_now));
+        least = std::min(least,
+                         m_tracker.prefillTime(server->name, tokens, m_estimators.prefill, m_now));
     }
     return least;
 }
 
-EngineChoice::Engines EngineChoice::usableDecode(const Engines &all) const
+EngineSelector::Engines EngineSelector::usableDecodeEngines(const Engines &all) const
 {
-    return mostOf(presentOf(all), [this](const AnnouncedServer *server) {
-        return !m_ledger.handovers().isBadTarget(server->name, m_now);
+    return healthyOrAll(availableEngines(all), [this](const AnnouncedServer *server) {
+        return !m_tracker.handovers().isBadTarget(server->name, m_now);
     });
 }
 
-EngineChoice::Engines EngineChoice::usablePrefill(const Engines &all) const
+EngineSelector::Engines EngineSelector::usablePrefillEngines(const Engines &all) const
 {
-    const Engines present = presentOf(all);
-    // Where none can be reached, it is the asking node's link: then all of them are usable.
-    return mostOf(present.empty() ? all : present, [this](const AnnouncedServer *server) {
-        return !m_ledger.handovers().isBadSource(server->name, m_now);
+    const Engines available = availableEngines(all);
+    // If no prefill engine is reachable, this node's link is probably down: use all of them.
+    return healthyOrAll(available.empty() ? all : available, [this](const AnnouncedServer *server) {
+        return !m_tracker.handovers().isBadSource(server->name, m_now);
     });
 }
 
-EngineChoice::Engines EngineChoice::presentOf(const Engines &all) const
+EngineSelector::Engines EngineSelector::availableEngines(const Engines &all) const
 {
-    Engines present = all;
-    std::erase_if(present,
-                  [this](const AnnouncedServer *server) { return m_ledger.isOut(*server, m_now); });
-    return present;
+    Engines available = all;
+    std::erase_if(available, [this](const AnnouncedServer *server) {
+        return m_tracker.isUnavailable(*server, m_now);
+    });
+    return available;
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/enginechoice.h
+++ b/src/scheduling/enginechoice.h
@@ -12,89 +12,113 @@
 namespace indigoway::scheduling {
 
 /**
- * The engines of one service at a moment, for one pass over the claims on them: which decode
- * engine has room for a claim, and which prefill engine reads its prompt next.
+ * Selects engines of one service during one scheduling pass: the decode engine that has memory for
+ * a claim, and the prefill engine that processes its prompt first.
  *
- * A pass costs by the engines that it looks at. Of a large service only so many are looked at as
- * the work needs, the same ones from pass to pass, so that a claim costs no more in a larger
- * fleet.
+ * The cost of a pass depends on the engines that it examines. Of a large service it examines only
+ * as many as the load requires, and the same ones in each pass, so that the cost of a claim doesn't
+ * grow with the fleet.
  */
-class EngineChoice
+class EngineSelector
 {
 public:
-    /** A decode engine that is not avoided. */
-    struct DecodeRoom
+    /** Decode engine that is available to claims. */
+    struct DecodeCandidate
     {
         const AnnouncedServer *server = nullptr;
-        MemoryOutlook memory;
-        double peak = 0; ///< Of memory, if nothing is added.
-        bool isKept = false;
+        MemoryProjection memory;
+        double peak = 0; ///< Projected peak in tokens, without further runs.
+        bool isReserved = false;
     };
 
-    /** Engines of each phase that are looked at in a failure domain, at the most. */
+    /** Maximum number of engines of each phase to examine in a failure domain. */
     using Limit = std::size_t;
-    static constexpr Limit All = std::numeric_limits<Limit>::max();
+    static constexpr Limit NoLimit = std::numeric_limits<Limit>::max();
 
-    EngineChoice(const EngineLedger &ledger, const ServerDirectory &servers, const Service &service,
-                 const ServicePace &pace, TimePoint now, Limit limit = All);
+    EngineSelector(const EngineTracker &tracker, const ServerDirectory &servers,
+                   const Service &service, const ServiceEstimators &estimators, TimePoint now,
+                   Limit limit = NoLimit);
 
-    /** Whether there are engines that were not looked at. */
+    /** Returns whether some engines were not examined. */
     bool isLimited() const { return m_isLimited; }
-    std::size_t looked() const { return m_looked; }
+    std::size_t examined() const { return m_examined; }
 
-    /** Null if none has room. */
-    DecodeRoom *chooseDecode(const Claim &claim);
-    /** As above, to read the prompt as well. */
-    DecodeRoom *chooseWholeRead(const Claim &claim);
-    /** Counts a run in that was granted @p room. */
-    void fill(DecodeRoom &room, const MemoryNeed &need) const;
-    /** Keeps the engine that will have room for a large claim first from the other claims. */
-    void keepRoom();
-    /** All decode engines' memory. */
+    /**
+     * Returns the decode engine with the lowest memory peak that has memory for @p claim.
+     * @return Null if no engine has enough memory.
+     */
+    DecodeCandidate *chooseDecodeEngine(const Claim &claim);
+    /**
+     * Returns a decode engine that also processes the prompt of @p claim.
+     * @return Null if no engine has enough memory or may prefill now.
+     */
+    DecodeCandidate *chooseLocalPrefillEngine(const Claim &claim);
+    /** Adds a granted run to the projection of @p candidate. */
+    void addRun(DecodeCandidate &candidate, const MemoryNeed &need) const;
+    /**
+     * Reserves the engine with the lowest memory peak for claims that have waited long. Other
+     * claims no longer get it in this pass.
+     */
+    void reserveEngine();
+    /** Returns the total memory of the decode engines in tokens. */
     double memory() const { return m_memory * static_cast<double>(m_decode.size()); }
-    /** What of it is free where a run of @p need would fit; other room is none for it. */
-    double freeFor(const MemoryNeed &need) const;
+    /** Returns the free tokens on the decode engines that have memory for a run of @p need. */
+    double freeMemoryFor(const MemoryNeed &need) const;
 
-    bool hasPrefill() const { return !m_prefill.empty(); }
-    /** For a run on @p decode; null if a prompt would wait too long at each. */
-    const AnnouncedServer *choosePrefill(const Claim &claim, const AnnouncedServer &decode) const;
-    /** At the prefill engine with the shortest line; 0 if there is none. */
+    bool hasPrefillEngines() const { return !m_prefill.empty(); }
+    /**
+     * Returns the prefill engine for a run on @p decode.
+     * @return Null if the prompt would wait too long at each engine.
+     */
+    const AnnouncedServer *choosePrefillEngine(const Claim &claim,
+                                               const AnnouncedServer &decode) const;
+    /** Returns the shortest queueing delay of the prefill engines, or 0 if there are none. */
     Duration leastPrefillWait() const;
-    /** Until a prompt that is sent now could be read; 0 if there is no prefill engine. */
-    Duration leastPrefillTime(std::uint32_t tokens) const;
+    /**
+     * Returns the shortest time to process a prompt of @p tokens that is sent now, including the
+     * queueing delay, or 0 if there are no prefill engines.
+     */
+    Duration shortestPrefillTime(std::uint32_t tokens) const;
     std::size_t prefillEngines() const { return m_prefill.size(); }
     std::size_t decodeEngines() const { return m_decode.size(); }
 
 private:
     using Engines = std::vector<const AnnouncedServer *>;
 
-    /** Of those that @p isUsable; null if none has room. */
+    /**
+     * Returns the candidate with the lowest memory peak for which @p isUsable holds, or null if
+     * none has enough memory.
+     */
     template <typename IsUsable>
-    DecodeRoom *emptiest(const Claim &claim, const IsUsable &isUsable);
-    struct Phases
+    DecodeCandidate *leastLoaded(const Claim &claim, const IsUsable &isUsable);
+    struct EnginesByPhase
     {
         Engines decode;
         Engines prefill;
     };
 
-    Phases allEngines(const ServerDirectory &servers, const Service &service);
-    Phases firstEngines(const ServerDirectory &servers, const Service &service, Limit limit);
-    /** Time that the pair is ranked behind others for; negative: before them. */
-    Duration detour(const AnnouncedServer &prefill, const AnnouncedServer &decode) const;
-    Engines usableDecode(const Engines &all) const;
-    Engines usablePrefill(const Engines &all) const;
-    /** Those that can take work at all. */
-    Engines presentOf(const Engines &all) const;
+    EnginesByPhase allEngines(const ServerDirectory &servers, const Service &service);
+    EnginesByPhase limitedEngines(const ServerDirectory &servers, const Service &service,
+                                  Limit limit);
+    /**
+     * Returns the time that is added to the pair's prefill time to rank it. A negative time prefers
+     * the pair.
+     */
+    Duration pairingPenalty(const AnnouncedServer &prefill, const AnnouncedServer &decode) const;
+    Engines usableDecodeEngines(const Engines &all) const;
+    Engines usablePrefillEngines(const Engines &all) const;
+    /** Returns the engines that accept work now. */
+    Engines availableEngines(const Engines &all) const;
 
-    const EngineLedger &m_ledger;
-    const ServicePace &m_pace;
+    const EngineTracker &m_tracker;
+    const ServiceEstimators &m_estimators;
     TimePoint m_now;
-    double m_memory = 0; ///< Of one engine, in tokens.
-    std::vector<DecodeRoom> m_decode;
+    double m_memory = 0; ///< Memory of one engine in tokens.
+    std::vector<DecodeCandidate> m_decode;
     Engines m_prefill;
     bool m_isLimited = false;
-    std::size_t m_looked = 0;
-    std::size_t m_kept = 0; ///< Engines whose room collects for claims that wait for long.
+    std::size_t m_examined = 0;
+    std::size_t m_reservedEngines = 0;
 };
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/engineledger.cpp
+++ b/src/scheduling/engineledger.cpp
@@ -7,301 +7,318 @@
 
 namespace {
 
-/** Of a sample: three of them tell a slow engine from one long wait. */
-constexpr double SlownessWeight = 0.4;
-constexpr double LeastSlowness = 0.7;
-constexpr double MostSlowness = 8;
-/** One sample changes the estimate by so much at the most: it may be the network's delay. */
-constexpr double MostSampleRatio = 4;
-/** An engine that was slow gets few prompts; so it is tried again as time passes. */
-constexpr Duration SlownessHalfLife = std::chrono::seconds(4);
-/** What one answer may correct the line by; the rest is the answer's own way. */
-constexpr Duration MostCorrection = std::chrono::milliseconds(500);
-/** From a grant until its prompt is in the engine's line: room is reserved first. */
-constexpr Duration SentWithin = std::chrono::milliseconds(20);
-/** A decode engine reads a prompt at half of a prefill engine's speed. */
-constexpr double WholeReadSlower = 2;
+/** Weight of a sample: three of them distinguish a slow engine from a single delay. */
+constexpr double SlowdownWeight = 0.4;
+constexpr double MinSlowdown = 0.7;
+constexpr double MaxSlowdown = 8;
+/** Limits the influence of one sample, which may be a network delay. */
+constexpr double MaxSampleRatio = 4;
+/** A slow engine gets few prompts, so its slowdown decays until it is tried again. */
+constexpr Duration SlowdownHalfLife = std::chrono::seconds(4);
+/** Limits the correction by one response; a larger difference is network delay. */
+constexpr Duration MaxCorrection = std::chrono::milliseconds(500);
+/** Time from a grant until the prompt is queued at the engine; memory is reserved first. */
+constexpr Duration GrantToSendTime = std::chrono::milliseconds(20);
+/** Prefill time on a decode engine relative to a prefill engine. */
+constexpr double LocalPrefillSlowdown = 2;
 /**
- * Of a decode engine's time: while it reads, the tokens of its runs come several times slower, and
- * each run that lasts longer holds memory for longer.
+ * Share of a decode engine's time for local prefills. During a prefill, its runs generate tokens
+ * several times slower and hold memory for longer.
  */
-constexpr double WholeReadPart = 0.25;
-/** Room comes free some times a second on a full engine. */
-constexpr Duration FullFor = std::chrono::milliseconds(80);
-/** Longer than any avoidance, and than an engine of a busy fleet stays without work. */
-constexpr Duration RememberedFor = std::chrono::seconds(60);
-/** An engine that is announced otherwise for longer has not done what it had accepted. */
-constexpr Duration BelievedFor = std::chrono::seconds(30);
-/** Two failures in a row: one alone happens to healthy engines. */
-constexpr std::uint32_t FailuresToDoubt = 2;
+constexpr double LocalPrefillShare = 0.25;
+/** Runs end several times per second on a full engine. */
+constexpr Duration OutOfMemoryBackoff = std::chrono::milliseconds(80);
+/** Longer than any avoidance period and than an engine idles in a busy fleet. */
+constexpr Duration IdleRetention = std::chrono::seconds(60);
 /**
- * An engine that fails a third of its requests fails so many in a row once in a hundred times; a
- * dead one has as many open, and fails them all at once.
+ * An engine that is still announced in its old phase after this time has not carried out the order.
+ */
+constexpr Duration UnannouncedPhaseTimeout = std::chrono::seconds(30);
+/** A single failure also happens on healthy engines. */
+constexpr std::uint32_t FailuresToSuspect = 2;
+/**
+ * Rare on an engine that fails a third of its requests, while a dead engine fails all its open
+ * requests at once.
  */
 constexpr std::uint32_t FailuresToAvoid = 4;
-constexpr Duration FirstAvoidance = std::chrono::milliseconds(800);
-constexpr std::uint32_t MostDoublings = 2;
+constexpr Duration InitialAvoidance = std::chrono::milliseconds(800);
+constexpr std::uint32_t MaxDoublings = 2;
 
 } // namespace
 
-void EngineLedger::charge(const ServerName &server, RunNumber run, const MemoryNeed &need,
-                          TimePoint now)
+void EngineTracker::addRun(const ServerName &server, RunNumber run, const MemoryNeed &need,
+                           TimePoint now)
 {
     Engine &engine = m_engines[server];
     engine.memory.add(run, need);
     engine.lastUsed = now;
 }
 
-void EngineLedger::beginDecode(const ServerName &server, RunNumber run, TimePoint now)
+void EngineTracker::beginDecode(const ServerName &server, RunNumber run, TimePoint now)
 {
-    m_engines[server].memory.begin(run, now);
+    m_engines[server].memory.beginDecode(run, now);
 }
 
-void EngineLedger::discharge(const ServerName &server, RunNumber run)
+void EngineTracker::removeRun(const ServerName &server, RunNumber run)
 {
     Engine &engine = m_engines[server];
     if (engine.memory.remove(run)) {
-        engine.fullUntil = {};
+        engine.outOfMemoryUntil = {};
     }
 }
 
-MemoryOutlook EngineLedger::memoryOutlook(const ServerName &server, const GenerationPace &pace,
-                                          TimePoint now) const
+MemoryProjection EngineTracker::memoryProjection(const ServerName &server,
+                                                 const DecodeEstimator &estimator,
+                                                 TimePoint now) const
 {
     const Engine *engine = find(server);
-    return engine ? engine->memory.outlook(pace, now) : MemoryOutlook();
+    return engine ? engine->memory.projection(estimator, now) : MemoryProjection();
 }
 
-Duration EngineLedger::prefillWait(const ServerName &server, TimePoint now) const
+Duration EngineTracker::prefillWait(const ServerName &server, TimePoint now) const
 {
     const Engine *engine = find(server);
     return engine && engine->busyUntil > now ? engine->busyUntil - now : Duration(0);
 }
 
-Duration EngineLedger::prefillTime(const ServerName &server, std::uint32_t tokens,
-                                   const PrefillPace &pace, TimePoint now) const
+Duration EngineTracker::prefillTime(const ServerName &server, std::uint32_t tokens,
+                                    const PrefillEstimator &estimator, TimePoint now) const
 {
-    return prefillWait(server, now) + workOf(find(server), tokens, pace, now) + pace.answerTime();
+    return prefillWait(server, now) + computeTimeOf(find(server), tokens, estimator, now)
+        + estimator.responseOverhead();
 }
 
-PrefillTurn EngineLedger::beginPrefill(const ServerName &server, std::uint32_t tokens,
-                                       const PrefillPace &pace, TimePoint now)
+PrefillAssignment EngineTracker::beginPrefill(const ServerName &server, std::uint32_t tokens,
+                                              const PrefillEstimator &estimator, TimePoint now)
 {
     Engine &engine = m_engines[server];
     engine.lastUsed = now;
-    PrefillTurn turn;
-    turn.server = server;
-    turn.granted = now;
-    turn.tokens = tokens;
-    turn.shift = engine.shift;
-    turn.isAlone = engine.line.empty();
-    turn.isNext = wouldFollow(server, now);
-    turn.work = workOf(&engine, tokens, pace, now);
-    turn.place = ++engine.lastPlace;
-    engine.busyUntil = std::max(engine.busyUntil, now) + turn.work;
-    turn.expectedEnd = engine.busyUntil + pace.answerTime();
-    engine.line.push_back({turn.place, Duration(0)});
-    return turn;
+    PrefillAssignment assignment;
+    assignment.server = server;
+    assignment.granted = now;
+    assignment.tokens = tokens;
+    assignment.queueShift = engine.queueShift;
+    assignment.wasEngineIdle = engine.queue.empty();
+    assignment.isBackToBack = wouldRunBackToBack(server, now);
+    assignment.computeTime = computeTimeOf(&engine, tokens, estimator, now);
+    assignment.sequence = ++engine.lastSequence;
+    engine.busyUntil = std::max(engine.busyUntil, now) + assignment.computeTime;
+    assignment.expectedEnd = engine.busyUntil + estimator.responseOverhead();
+    engine.queue.push_back({assignment.sequence, Duration(0)});
+    return assignment;
 }
 
-bool EngineLedger::wouldFollow(const ServerName &server, TimePoint now) const
+bool EngineTracker::wouldRunBackToBack(const ServerName &server, TimePoint now) const
 {
     const Engine *engine = find(server);
-    return engine && engine->line.size() == 1 && engine->busyUntil > now + SentWithin;
+    return engine && engine->queue.size() == 1 && engine->busyUntil > now + GrantToSendTime;
 }
 
-void EngineLedger::endPrefill(const PrefillTurn &turn, PrefillPace &pace, TimePoint now)
+void EngineTracker::completePrefill(const PrefillAssignment &assignment,
+                                    PrefillEstimator &estimator, TimePoint now)
 {
-    Engine &engine = m_engines[turn.server];
-    if (turn.isAlone) {
-        // Long prompts go to the fast engines: unless that is taken out, they seem to take hardly
-        // longer than short ones, and each engine's line seems shorter than it is.
-        const Duration own = now - turn.granted - pace.answerTime();
-        const double typical = static_cast<double>(own.count()) / slownessOf(engine, now);
-        pace.add(turn.tokens, pace.answerTime() + Duration(static_cast<Duration::rep>(typical)));
+    Engine &engine = m_engines[assignment.server];
+    if (assignment.wasEngineIdle) {
+        // Long prompts go to fast engines. Unless samples are normalised by the engine's slowdown,
+        // long prompts seem to take hardly longer than short ones, and queueing delays are
+        // underestimated.
+        const Duration ownTime = now - assignment.granted - estimator.responseOverhead();
+        const double typical = static_cast<double>(ownTime.count()) / slowdownOf(engine, now);
+        estimator.add(assignment.tokens,
+                      estimator.responseOverhead() + Duration(static_cast<Duration::rep>(typical)));
     }
-    if (turn.isNext && turn.granted < engine.lastAnswer) {
-        pace.addNext(turn.tokens, now - engine.lastAnswer);
+    if (assignment.isBackToBack && assignment.granted < engine.lastResponse) {
+        estimator.addBackToBack(assignment.tokens, now - engine.lastResponse);
     }
-    engine.lastAnswer = now;
-    const Duration gained = leaveLine(engine, turn, now);
-    if (!engine.line.empty()) {
-        // Time gained is in the estimate already where earlier prompts of the line have shown it;
-        // counted again with each of them, an engine a little faster than thought looked idle and
-        // was flooded. Time lost does count again: what makes one prompt late, a slow engine or
-        // one that has just come back, makes the next one later than its work alone.
-        const TimePoint expected = turn.expectedEnd + (engine.shift - turn.shift) - gained;
-        const Duration correction =
-            std::clamp(Duration(now - (now > turn.expectedEnd ? turn.expectedEnd : expected)),
-                       -MostCorrection, MostCorrection);
+    engine.lastResponse = now;
+    const Duration timeSaved = removeFromQueue(engine, assignment, now);
+    if (!engine.queue.empty()) {
+        // A negative correction must exclude the time that earlier responses have already
+        // corrected; otherwise an engine that is slightly faster than expected appears idle and is
+        // flooded. A positive correction is applied in full, because what delays one prompt also
+        // delays the next ones.
+        const TimePoint expected =
+            assignment.expectedEnd + (engine.queueShift - assignment.queueShift) - timeSaved;
+        const Duration correction = std::clamp(
+            Duration(now - (now > assignment.expectedEnd ? assignment.expectedEnd : expected)),
+            -MaxCorrection, MaxCorrection);
         engine.busyUntil += correction;
-        engine.shift += correction;
+        engine.queueShift += correction;
     }
-    const double thought = static_cast<double>((turn.expectedEnd - turn.granted).count());
-    const double took = static_cast<double>((now - turn.granted).count());
-    const double ratio = std::clamp(took / thought, 1 / MostSampleRatio, MostSampleRatio);
-    engine.slowness = std::clamp(slownessOf(engine, now) * std::pow(ratio, SlownessWeight),
-                                 LeastSlowness, MostSlowness);
-    engine.slownessAt = now;
+    const double expectedSeconds =
+        static_cast<double>((assignment.expectedEnd - assignment.granted).count());
+    const double actualSeconds = static_cast<double>((now - assignment.granted).count());
+    const double ratio =
+        std::clamp(actualSeconds / expectedSeconds, 1 / MaxSampleRatio, MaxSampleRatio);
+    engine.slowdown = std::clamp(slowdownOf(engine, now) * std::pow(ratio, SlowdownWeight),
+                                 MinSlowdown, MaxSlowdown);
+    engine.slowdownUpdatedAt = now;
 }
 
-void EngineLedger::dropPrefill(const PrefillTurn &turn, TimePoint now)
+void EngineTracker::failPrefill(const PrefillAssignment &assignment, TimePoint now)
 {
-    Engine &engine = m_engines[turn.server];
-    // When the engine turned to the next one is not known.
-    engine.lastAnswer = {};
-    leaveLine(engine, turn, now);
+    Engine &engine = m_engines[assignment.server];
+    // It is unknown when the engine started the next prompt.
+    engine.lastResponse = {};
+    removeFromQueue(engine, assignment, now);
 }
 
-void EngineLedger::withdrawPrefill(const PrefillTurn &turn, TimePoint now)
+void EngineTracker::cancelPrefill(const PrefillAssignment &assignment, TimePoint now)
 {
-    Engine &engine = m_engines[turn.server];
-    engine.lastAnswer = {};
-    leaveLine(engine, turn, now);
-    engine.busyUntil = std::max(engine.busyUntil - turn.work, now);
-    for (InLine &prompt : engine.line) {
-        prompt.gained += prompt.place > turn.place ? turn.work : Duration(0);
+    Engine &engine = m_engines[assignment.server];
+    engine.lastResponse = {};
+    removeFromQueue(engine, assignment, now);
+    engine.busyUntil = std::max(engine.busyUntil - assignment.computeTime, now);
+    for (QueuedPrompt &prompt : engine.queue) {
+        prompt.timeSaved +=
+            prompt.sequence > assignment.sequence ? assignment.computeTime : Duration(0);
     }
 }
 
-Duration EngineLedger::leaveLine(Engine &engine, const PrefillTurn &turn, TimePoint now)
+Duration EngineTracker::removeFromQueue(Engine &engine, const PrefillAssignment &assignment,
+                                        TimePoint now)
 {
-    const auto it = std::ranges::find(engine.line, turn.place, &InLine::place);
-    if (it == engine.line.end()) {
+    const auto it = std::ranges::find(engine.queue, assignment.sequence, &QueuedPrompt::sequence);
+    if (it == engine.queue.end()) {
         return Duration(0);
     }
-    const Duration gained = it->gained;
-    engine.line.erase(it);
-    if (engine.line.empty()) {
+    const Duration timeSaved = it->timeSaved;
+    engine.queue.erase(it);
+    if (engine.queue.empty()) {
         engine.busyUntil = now;
     }
-    return gained;
+    return timeSaved;
 }
 
-void EngineLedger::beginWholeRead(const ServerName &server, std::uint32_t tokens,
-                                  const PrefillPace &pace, TimePoint now)
+void EngineTracker::beginLocalPrefill(const ServerName &server, std::uint32_t tokens,
+                                      const PrefillEstimator &estimator, TimePoint now)
 {
     Engine &engine = m_engines[server];
-    const auto takes =
-        static_cast<double>(workOf(&engine, tokens, pace, now).count()) * WholeReadSlower;
-    engine.readsWholeAfter = now + Duration(static_cast<Duration::rep>(takes / WholeReadPart));
+    const auto duration =
+        static_cast<double>(computeTimeOf(&engine, tokens, estimator, now).count())
+        * LocalPrefillSlowdown;
+    engine.localPrefillAfter =
+        now + Duration(static_cast<Duration::rep>(duration / LocalPrefillShare));
     engine.lastUsed = now;
 }
 
-bool EngineLedger::mayReadWhole(const ServerName &server, TimePoint now) const
+bool EngineTracker::canPrefillLocally(const ServerName &server, TimePoint now) const
 {
     const Engine *engine = find(server);
-    return !engine || now >= engine->readsWholeAfter;
+    return !engine || now >= engine->localPrefillAfter;
 }
 
-double EngineLedger::wholeReadsOfPrefill()
+double EngineTracker::localPrefillRatio()
 {
-    return WholeReadPart / WholeReadSlower;
+    return LocalPrefillShare / LocalPrefillSlowdown;
 }
 
-void EngineLedger::refusedRoom(const ServerName &server, std::uint64_t memory, TimePoint now)
+void EngineTracker::recordOutOfMemory(const ServerName &server, std::uint64_t memory, TimePoint now)
 {
     Engine &engine = m_engines[server];
-    engine.fullUntil = now + FullFor;
-    if (engine.memory.wholeTokens() < memory / 2) {
-        // It cannot be full. An engine that changes its phase, or has just begun to leave, looks
-        // like that: it would be the emptiest, and get every claim, for seconds.
-        failed(server, now);
+    engine.outOfMemoryUntil = now + OutOfMemoryBackoff;
+    if (engine.memory.totalTokens() < memory / 2) {
+        // By its reservations the engine can't be full: it is probably changing its phase or
+        // shutting down. As the engine with the lowest memory peak, it would otherwise get every
+        // claim.
+        recordFailure(server, now);
     }
 }
 
-void EngineLedger::failed(const ServerName &server, TimePoint now)
+void EngineTracker::recordFailure(const ServerName &server, TimePoint now)
 {
     Engine &engine = m_engines[server];
-    ++engine.failuresInRow;
-    if (engine.failuresInRow < FailuresToDoubt) {
+    ++engine.consecutiveFailures;
+    if (engine.consecutiveFailures < FailuresToSuspect) {
         return;
     }
-    const std::uint32_t doublings = std::min(engine.failuresInRow - FailuresToDoubt, MostDoublings);
-    engine.doubtfulUntil = now + FirstAvoidance * (1U << doublings);
-    if (engine.failuresInRow >= FailuresToAvoid) {
-        engine.avoidedUntil = engine.doubtfulUntil;
+    const std::uint32_t doublings =
+        std::min(engine.consecutiveFailures - FailuresToSuspect, MaxDoublings);
+    engine.suspectUntil = now + InitialAvoidance * (1U << doublings);
+    if (engine.consecutiveFailures >= FailuresToAvoid) {
+        engine.avoidedUntil = engine.suspectUntil;
     }
 }
 
-void EngineLedger::unreachable(const ServerName &server, TimePoint now)
+void EngineTracker::recordUnreachable(const ServerName &server, TimePoint now)
 {
     Engine &engine = m_engines[server];
-    engine.failuresInRow = std::max(engine.failuresInRow, FailuresToDoubt - 1);
-    failed(server, now);
-    engine.avoidedUntil = engine.doubtfulUntil;
+    engine.consecutiveFailures = std::max(engine.consecutiveFailures, FailuresToSuspect - 1);
+    recordFailure(server, now);
+    engine.avoidedUntil = engine.suspectUntil;
 }
 
-void EngineLedger::lostHandover(const ServerName &prefill, const ServerName &decode, TimePoint now)
+void EngineTracker::recordTransferFailure(const ServerName &prefill, const ServerName &decode,
+                                          TimePoint now)
 {
     m_handovers.lost(prefill, decode, now);
 }
 
-void EngineLedger::changesPhase(const EngineChanging &change, TimePoint now)
+void EngineTracker::recordPhaseChange(const EngineChanging &change, TimePoint now)
 {
     Engine &engine = m_engines[change.server];
-    engine.changesTo = change.to;
-    engine.changesUntil = now + change.lasts;
-    engine.hasAccepted = change.isAccepted;
+    engine.targetPhase = change.to;
+    engine.phaseChangeEnd = now + change.lasts;
+    engine.isPhaseChangeAccepted = change.isAccepted;
     engine.lastUsed = now;
 }
 
-EnginePhase EngineLedger::phaseOf(const AnnouncedServer &server, TimePoint now) const
+EnginePhase EngineTracker::phaseOf(const AnnouncedServer &server, TimePoint now) const
 {
     const Engine *engine = find(server.name);
-    const bool isUnannounced = engine && engine->hasAccepted && now >= engine->changesUntil
-        && now < engine->changesUntil + BelievedFor;
-    return isUnannounced ? engine->changesTo : server.phase;
+    const bool isUnannounced = engine && engine->isPhaseChangeAccepted
+        && now >= engine->phaseChangeEnd && now < engine->phaseChangeEnd + UnannouncedPhaseTimeout;
+    return isUnannounced ? engine->targetPhase : server.phase;
 }
 
-void EngineLedger::workedWell(const ServerName &server)
+void EngineTracker::recordSuccess(const ServerName &server)
 {
-    m_engines[server].failuresInRow = 0;
+    m_engines[server].consecutiveFailures = 0;
 }
 
-void EngineLedger::forgetIdle(TimePoint now)
+void EngineTracker::removeIdle(TimePoint now)
 {
     std::erase_if(m_engines, [now](const auto &one) {
         const Engine &engine = one.second;
-        return engine.memory.runs() == 0 && engine.line.empty()
-            && now > engine.lastUsed + RememberedFor;
+        return engine.memory.runs() == 0 && engine.queue.empty()
+            && now > engine.lastUsed + IdleRetention;
     });
 }
 
-bool EngineLedger::isOut(const AnnouncedServer &server, TimePoint now) const
+bool EngineTracker::isUnavailable(const AnnouncedServer &server, TimePoint now) const
 {
     const Engine *engine = find(server.name);
     if (!engine) {
         return false;
     }
-    const bool isChanging = now < engine->changesUntil && server.phase != engine->changesTo;
-    return isChanging || now < std::max(engine->avoidedUntil, engine->fullUntil);
+    const bool isChanging = now < engine->phaseChangeEnd && server.phase != engine->targetPhase;
+    return isChanging || now < std::max(engine->avoidedUntil, engine->outOfMemoryUntil);
 }
 
-bool EngineLedger::isDoubtful(const ServerName &server, TimePoint now) const
+bool EngineTracker::isSuspect(const ServerName &server, TimePoint now) const
 {
     const Engine *engine = find(server);
-    return engine && now < engine->doubtfulUntil;
+    return engine && now < engine->suspectUntil;
 }
 
-const EngineLedger::Engine *EngineLedger::find(const ServerName &server) const
+const EngineTracker::Engine *EngineTracker::find(const ServerName &server) const
 {
     const auto it = m_engines.find(server);
     return it == m_engines.end() ? nullptr : &it->second;
 }
 
-Duration EngineLedger::workOf(const Engine *engine, std::uint32_t tokens, const PrefillPace &pace,
-                              TimePoint now)
+Duration EngineTracker::computeTimeOf(const Engine *engine, std::uint32_t tokens,
+                                      const PrefillEstimator &estimator, TimePoint now)
 {
-    const double typical = static_cast<double>(pace.work(tokens).count());
-    return Duration(static_cast<Duration::rep>(typical * (engine ? slownessOf(*engine, now) : 1)));
+    const double typical = static_cast<double>(estimator.computeTime(tokens).count());
+    return Duration(static_cast<Duration::rep>(typical * (engine ? slowdownOf(*engine, now) : 1)));
 }
 
-double EngineLedger::slownessOf(const Engine &engine, TimePoint now)
+double EngineTracker::slowdownOf(const Engine &engine, TimePoint now)
 {
-    const double halfLives = static_cast<double>((now - engine.slownessAt).count())
-        / static_cast<double>(SlownessHalfLife.count());
-    return 1 + (engine.slowness - 1) * std::exp2(-std::min(halfLives, 20.0));
+    const double halfLives = static_cast<double>((now - engine.slowdownUpdatedAt).count())
+        / static_cast<double>(SlowdownHalfLife.count());
+    return 1 + (engine.slowdown - 1) * std::exp2(-std::min(halfLives, 20.0));
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/engineledger.h
+++ b/src/scheduling/engineledger.h
@@ -15,128 +15,152 @@
 
 namespace indigoway::scheduling {
 
-/** One prompt's turn on a prefill engine. */
-struct PrefillTurn
+/** Prompt that was assigned to a prefill engine. */
+struct PrefillAssignment
 {
     ServerName server;
     TimePoint granted {};
-    TimePoint expectedEnd {}; ///< Of the answer, as thought when it was granted.
-    Duration shift {};        ///< The engine's, at that time.
+    TimePoint expectedEnd {}; ///< Expected arrival of the response, as estimated at the grant.
+    Duration queueShift {};   ///< Queue shift of the engine at the grant.
     std::uint32_t tokens = 0;
-    bool isAlone = false;    ///< It found the engine idle.
-    bool isNext = false;     ///< It is there before the engine is done with the one ahead.
-    Duration work {};        ///< For which the engine was thought to read it.
-    std::uint64_t place = 0; ///< In the engine's line.
+    bool wasEngineIdle = false; ///< Whether the engine had an empty queue.
+    /** Whether the prompt arrives before the engine finishes the preceding one. */
+    bool isBackToBack = false;
+    Duration computeTime {};    ///< Expected time for which the prompt occupies the engine.
+    std::uint64_t sequence = 0; ///< Sequence number in the engine's queue.
 };
 
-/** What is known of each engine: memory given out, prompts in line, how it has behaved. */
-class EngineLedger
+/** Keeps the state of each engine: reserved memory, queued prompts, failures and speed. */
+class EngineTracker
 {
 public:
-    void charge(const ServerName &server, RunNumber run, const MemoryNeed &need, TimePoint now);
-    /** The run makes tokens from now on. */
+    void addRun(const ServerName &server, RunNumber run, const MemoryNeed &need, TimePoint now);
+    /** Records that the run generates tokens from now on. */
     void beginDecode(const ServerName &server, RunNumber run, TimePoint now);
-    void discharge(const ServerName &server, RunNumber run);
-    /** The course of the memory given out. */
-    MemoryOutlook memoryOutlook(const ServerName &server, const GenerationPace &pace,
-                                TimePoint now) const;
+    void removeRun(const ServerName &server, RunNumber run);
+    /** Returns the projected memory use of the runs on @p server. */
+    MemoryProjection memoryProjection(const ServerName &server, const DecodeEstimator &estimator,
+                                      TimePoint now) const;
 
-    /** How long a prompt that is sent now waits before it is read. */
+    /** Returns the queueing delay of a prompt that is sent now. */
     Duration prefillWait(const ServerName &server, TimePoint now) const;
-    /** From sending a prompt to its answer, if engines of its kind have @p pace. */
-    Duration prefillTime(const ServerName &server, std::uint32_t tokens, const PrefillPace &pace,
-                         TimePoint now) const;
-    /** A prompt that is sent now would follow the one before it without a gap. */
-    bool wouldFollow(const ServerName &server, TimePoint now) const;
-    PrefillTurn beginPrefill(const ServerName &server, std::uint32_t tokens,
-                             const PrefillPace &pace, TimePoint now);
+    /** Returns the time from sending a prompt to its response. */
+    Duration prefillTime(const ServerName &server, std::uint32_t tokens,
+                         const PrefillEstimator &estimator, TimePoint now) const;
     /**
-     * Corrects what is thought of the engine's line and speed by what it took, and tells @p pace
-     * of it as a middling engine would have taken.
+     * Returns whether a prompt that is sent now would arrive before the engine finishes the only
+     * one in its queue.
      */
-    void endPrefill(const PrefillTurn &turn, PrefillPace &pace, TimePoint now);
-    /** The engine failed the prompt; that says nothing about its speed. */
-    void dropPrefill(const PrefillTurn &turn, TimePoint now);
+    bool wouldRunBackToBack(const ServerName &server, TimePoint now) const;
+    PrefillAssignment beginPrefill(const ServerName &server, std::uint32_t tokens,
+                                   const PrefillEstimator &estimator, TimePoint now);
     /**
-     * The engine does not read the prompt: no room was had for it, or its caller has left. Those
-     * behind it are read sooner. Unless its time is given back, engines look busy that are not,
-     * and claims are refused for them.
+     * Corrects the estimates of the engine's queue and slowdown by the actual response time, and
+     * adds a sample, normalised to a typical engine, to @p estimator.
      */
-    void withdrawPrefill(const PrefillTurn &turn, TimePoint now);
-    /** A decode engine reads a whole prompt, between the tokens of its runs. */
-    void beginWholeRead(const ServerName &server, std::uint32_t tokens, const PrefillPace &pace,
-                        TimePoint now);
-    /** Its runs have had their time since it read one last. */
-    bool mayReadWhole(const ServerName &server, TimePoint now) const;
-    /** Of the prompts that a prefill engine reads, how many a decode engine may read beside. */
-    static double wholeReadsOfPrefill();
-    /** The engine refused room that it was thought to have, of @p memory tokens in all. */
-    void refusedRoom(const ServerName &server, std::uint64_t memory, TimePoint now);
-    void failed(const ServerName &server, TimePoint now);
-    /** It took no connection: that is no accident of one request. */
-    void unreachable(const ServerName &server, TimePoint now);
-    /** @p decode could not take over the KV cache that @p prefill kept. */
-    void lostHandover(const ServerName &prefill, const ServerName &decode, TimePoint now);
+    void completePrefill(const PrefillAssignment &assignment, PrefillEstimator &estimator,
+                         TimePoint now);
     /**
-     * The engine has been ordered to change its phase, or is about to be: it turns new work away
-     * until it is announced in its new phase.
+     * Removes a prompt that failed on the engine. The failure is no sample of the engine's speed.
      */
-    void changesPhase(const EngineChanging &change, TimePoint now);
+    void failPrefill(const PrefillAssignment &assignment, TimePoint now);
     /**
-     * The phase that @p server is in: as announced, but for an engine that has accepted an order
-     * and had the time for it. The news of it comes through the store; while that is away, engines
-     * that have changed would stand idle, taken for what they have been.
+     * Removes a prompt that the engine doesn't process, because it had no memory or its caller
+     * left. Prompts queued behind it are processed earlier.
+     */
+    void cancelPrefill(const PrefillAssignment &assignment, TimePoint now);
+    /**
+     * Records that a decode engine processes a prompt itself, interleaved with the tokens of its
+     * runs.
+     */
+    void beginLocalPrefill(const ServerName &server, std::uint32_t tokens,
+                           const PrefillEstimator &estimator, TimePoint now);
+    /**
+     * Returns whether enough time has passed since the engine's last local prefill for its runs to
+     * progress.
+     */
+    bool canPrefillLocally(const ServerName &server, TimePoint now) const;
+    /** Returns the prefill throughput of a decode engine relative to that of a prefill engine. */
+    static double localPrefillRatio();
+    /**
+     * Records that the engine refused a run for lack of memory.
+     * @param memory Total memory of the engine in tokens.
+     */
+    void recordOutOfMemory(const ServerName &server, std::uint64_t memory, TimePoint now);
+    void recordFailure(const ServerName &server, TimePoint now);
+    /** Records a refused connection. Unlike a failed request, it excludes the engine at once. */
+    void recordUnreachable(const ServerName &server, TimePoint now);
+    /** Records that @p decode failed to fetch a KV cache from @p prefill. */
+    void recordTransferFailure(const ServerName &prefill, const ServerName &decode, TimePoint now);
+    /**
+     * Records that the engine has been, or is about to be, ordered to change its phase. It refuses
+     * new work until it is announced in its new phase.
+     */
+    void recordPhaseChange(const EngineChanging &change, TimePoint now);
+    /**
+     * Returns the phase of @p server: the announced one, or the new one if the engine has accepted
+     * an order and the time for the change has passed. Announcements arrive through the store;
+     * while it is unavailable, changed engines would otherwise stay idle.
      */
     EnginePhase phaseOf(const AnnouncedServer &server, TimePoint now) const;
-    void workedWell(const ServerName &server);
+    void recordSuccess(const ServerName &server);
     /**
-     * Drops what is known of engines that hold nothing and were not heard of for a while: each
-     * start of an engine has a new name, and the names of old ones would pile up.
+     * Removes the state of engines that have had no work for some time. Each start of an engine has
+     * a new name, so the map would otherwise grow without bound.
      */
-    void forgetIdle(TimePoint now);
+    void removeIdle(TimePoint now);
     std::size_t size() const { return m_engines.size(); }
     /**
-     * It takes no connections, fails all it gets, has just refused room, or changes its phase: of
-     * no use now.
+     * Returns whether the engine can't be used now, because it refuses connections, fails all
+     * requests, has just refused a run for lack of memory, or changes its phase.
      */
-    bool isOut(const AnnouncedServer &server, TimePoint now) const;
-    /** It fails a part of what it gets: for what no other engine has room for. */
-    bool isDoubtful(const ServerName &server, TimePoint now) const;
+    bool isUnavailable(const AnnouncedServer &server, TimePoint now) const;
+    /**
+     * Returns whether the engine fails some of its requests, so that it is used only if no other
+     * engine has enough memory.
+     */
+    bool isSuspect(const ServerName &server, TimePoint now) const;
     const HandoverLosses &handovers() const { return m_handovers; }
 
 private:
-    struct InLine
+    struct QueuedPrompt
     {
-        std::uint64_t place = 0;
-        Duration gained {}; ///< Time of prompts before it that were withdrawn.
+        std::uint64_t sequence = 0;
+        Duration timeSaved {}; ///< Compute time of cancelled prompts ahead of this one.
     };
     struct Engine
     {
         MemoryForecast memory;
-        std::deque<InLine> line; ///< Prompts being read or waiting for it; the first is read first.
-        std::uint64_t lastPlace = 0;
-        TimePoint lastAnswer {}; ///< Of a prompt; none if one was dropped after it.
+        std::deque<QueuedPrompt> queue; ///< Prompts in the order in which they are processed.
+        std::uint64_t lastSequence = 0;
+        /** Time of the last response to a prompt; unset after a failed or cancelled one. */
+        TimePoint lastResponse {};
         TimePoint busyUntil {};
-        Duration shift {};   ///< All corrections of busyUntil so far.
-        double slowness = 1; ///< Time that prompts take, against that of a healthy engine.
-        TimePoint slownessAt {};
-        std::uint32_t failuresInRow = 0;
-        TimePoint doubtfulUntil {};
+        Duration queueShift {}; ///< Sum of all corrections of busyUntil.
+        double slowdown = 1;    ///< Processing time relative to that of a typical engine.
+        TimePoint slowdownUpdatedAt {};
+        std::uint32_t consecutiveFailures = 0;
+        TimePoint suspectUntil {};
         TimePoint avoidedUntil {};
-        TimePoint fullUntil {};
-        TimePoint readsWholeAfter {};
-        TimePoint changesUntil {};
-        EnginePhase changesTo = EnginePhase::None;
-        bool hasAccepted = false; ///< The change to changesTo.
+        TimePoint outOfMemoryUntil {};
+        TimePoint localPrefillAfter {};
+        TimePoint phaseChangeEnd {};
+        EnginePhase targetPhase = EnginePhase::None;
+        /** Whether the engine has accepted the change to targetPhase. */
+        bool isPhaseChangeAccepted = false;
         TimePoint lastUsed {};
     };
 
-    /** Takes the prompt out of its engine's line; what it gained there. */
-    static Duration leaveLine(Engine &engine, const PrefillTurn &turn, TimePoint now);
+    /**
+     * Removes the prompt from its engine's queue.
+     * @return Compute time of cancelled prompts that were ahead of it.
+     */
+    static Duration removeFromQueue(Engine &engine, const PrefillAssignment &assignment,
+                                    TimePoint now);
     const Engine *find(const ServerName &server) const;
-    static Duration workOf(const Engine *engine, std::uint32_t tokens, const PrefillPace &pace,
-                           TimePoint now);
-    static double slownessOf(const Engine &engine, TimePoint now);
+    static Duration computeTimeOf(const Engine *engine, std::uint32_t tokens,
+                                  const PrefillEstimator &estimator, TimePoint now);
+    static double slowdownOf(const Engine &engine, TimePoint now);
 
     std::map<ServerName, Engine> m_engines;
     HandoverLosses m_handovers;
--- a/src/scheduling/enginescheduler.cpp
+++ b/src/scheduling/enginescheduler.cpp
@@ -8,38 +8,38 @@
 namespace {
 
 /**
- * Before the latest start that keeps its target, a claim that no prefill engine can take yet is
- * read by a decode engine, which takes longer.
+ * How long before its latest start a claim that no prefill engine can take goes to a decode engine,
+ * where prefill takes longer.
  */
-constexpr Duration WholeReadBefore = std::chrono::milliseconds(250);
-/** From the prompt's answer to the first event: the KV cache is moved, a token is made. */
+constexpr Duration LocalPrefillLeadTime = std::chrono::milliseconds(250);
+/** Time from the prefill response to the first event: KV cache transfer and first token. */
 constexpr Duration FirstEventAfterPrefill = std::chrono::milliseconds(40);
-/** While a prompt would be read sooner, those that wait do so for decode memory. */
+/** If prompts would be processed sooner than this, waiting claims wait for decode memory. */
 constexpr Duration LongPrefillWait = std::chrono::milliseconds(100);
 /**
- * A claim waits so long before room is kept for it, on an engine of its own. Without that, each
- * piece of room that comes free goes to the small ones, and hardly a large one is served.
+ * Wait after which an engine is reserved for a claim. Otherwise small claims would take all memory
+ * that comes free, and large ones would starve.
  */
-constexpr Duration KeepRoomAfter = std::chrono::milliseconds(100);
+constexpr Duration ReserveEngineAfter = std::chrono::milliseconds(100);
 /**
- * With hundreds waiting and a thousand messages a second the scheduler would do nothing but pass
- * over them, and nodes would take it for dead.
+ * If more claims wait, passes are limited to one per PassInterval. Otherwise passes would use all
+ * CPU time under load, and nodes would consider the scheduler dead.
  */
-constexpr std::size_t ManyWaiting = 20;
-constexpr Duration BetweenPasses = std::chrono::milliseconds(5);
-/** While claims wait and no message comes. */
-constexpr Duration TickEvery = std::chrono::milliseconds(25);
-/** While nothing waits, only what dead nodes have left behind is looked for. */
-constexpr Duration LookForDeadEvery = std::chrono::seconds(1);
-/** A node that died tells nothing; its claims end with their requests' time, and a little later. */
+constexpr std::size_t BatchingThreshold = 20;
+constexpr Duration PassInterval = std::chrono::milliseconds(5);
+/** Used while claims wait. */
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
+/** Used while no claims wait; expires grants of dead nodes. */
+constexpr Duration ExpiryCheckInterval = std::chrono::seconds(1);
+/** Grants of a dead node expire this long after the time limit of their requests. */
 constexpr Duration ExpirySlack = std::chrono::milliseconds(500);
 
-/** Engines of each phase that are looked at in a failure domain, however little work there is. */
-constexpr std::size_t LeastEngines = 64;
-/** Engines looked at for each run and claim: most find an engine that is idle. */
-constexpr std::size_t EnginesForRun = 2;
+/** Minimum number of engines of each phase to examine in a failure domain. */
+constexpr std::size_t MinEngines = 64;
+/** Engines to examine for each run and claim, so that most claims find an idle engine. */
+constexpr std::size_t EnginesPerRun = 2;
 
-/** Of a run's memory over its time: its output grows from nothing. */
+/** Returns the mean memory of a run over its lifetime; its output grows linearly. */
 double meanTokens(const MemoryNeed &need)
 {
     return static_cast<double>(need.contextTokens) + static_cast<double>(need.outputTokens) / 2;
@@ -50,29 +50,29 @@
 SchedulerReplies EngineScheduler::handle(TimePoint now, const View &view, const NodeLife &from,
                                          const ToScheduler &message)
 {
-    dropEarlierLives(from, now);
+    removeEarlierIncarnations(from, now);
     SchedulerReplies replies;
     if (const auto *changing = std::get_if<EngineChanging>(&message)) {
-        m_ledger.changesPhase(*changing, now);
+        m_tracker.recordPhaseChange(*changing, now);
         return replies;
     }
     if (const auto *asked = std::get_if<WorkAsked>(&message)) {
-        if (const auto work = paceOf(asked->service).work()) {
+        if (const auto work = estimatorsOf(asked->service).work()) {
             replies.push_back({from, WorkTold {asked->service, *work}});
         }
         return replies;
     }
-    const Key key {from, claimOf(message)};
+    const ClaimKey key {from, claimOf(message)};
     if (const auto *claim = std::get_if<Claim>(&message)) {
-        take(now, view, key, *claim, replies);
+        process(now, view, key, *claim, replies);
     } else if (const auto *held = std::get_if<RoomHeld>(&message)) {
-        take(now, key, *held);
+        process(now, key, *held);
     } else if (const auto *prefill = std::get_if<PrefillEnded>(&message)) {
-        take(now, key, *prefill);
+        process(now, key, *prefill);
     } else {
-        take(now, view, key, std::get<ClaimEnded>(message));
+        process(now, view, key, std::get<ClaimEnded>(message));
     }
-    grant(now, view, replies);
+    grantWaiting(now, view, replies);
     if (m_waiting.contains(key)) {
         replies.push_back({from, ClaimQueued {key.claim}});
     }
@@ -82,21 +82,21 @@
 SchedulerReplies EngineScheduler::tick(TimePoint now, const View &view)
 {
     SchedulerReplies replies;
-    expire(now);
-    refuseLate(now, replies);
-    grant(now, view, replies);
+    removeExpired(now);
+    refuseOverdue(now, replies);
+    grantWaiting(now, view, replies);
     return replies;
 }
 
 std::optional<TimePoint> EngineScheduler::nextTick(TimePoint now) const
 {
-    if (m_waiting.size() > ManyWaiting) {
+    if (m_waiting.size() > BatchingThreshold) {
         return std::max(m_nextPass, now + Duration(1));
     }
     if (!m_waiting.empty()) {
-        return now + TickEvery;
+        return now + TickInterval;
     }
-    return m_granted.empty() ? std::nullopt : std::optional(now + LookForDeadEvery);
+    return m_granted.empty() ? std::nullopt : std::optional(now + ExpiryCheckInterval);
 }
 
 SchedulerState EngineScheduler::state(TimePoint now, const View &view) const
@@ -110,92 +110,96 @@
         if (!service.engine) {
             continue;
         }
-        const EngineChoice engines(m_ledger, view.servers, service, paceOf(name), now);
+        const EngineSelector engines(m_tracker, view.servers, service, estimatorsOf(name), now);
         state.decodeEngines += view.servers.candidates(name, EnginePhase::Decode, now).size();
         state.decodeUsable += engines.decodeEngines();
         state.prefillEngines += view.servers.candidates(name, EnginePhase::Prefill, now).size();
         state.prefillUsable += engines.prefillEngines();
         state.memoryTokens += static_cast<std::uint64_t>(engines.memory());
-        state.freeTokens += static_cast<std::uint64_t>(engines.freeFor({}));
+        state.freeTokens += static_cast<std::uint64_t>(engines.freeMemoryFor({}));
         state.leastPrefillWait = std::max(state.leastPrefillWait, engines.leastPrefillWait());
     }
     return state;
 }
 
-void EngineScheduler::take(TimePoint now, const View &view, const Key &key, const Claim &claim,
-                           SchedulerReplies &replies)
+void EngineScheduler::process(TimePoint now, const View &view, const ClaimKey &key,
+                              const Claim &claim, SchedulerReplies &replies)
 {
     const auto granted = m_granted.find(key);
     if (granted != m_granted.end()) {
-        // The answer was lost on its way.
-        replies.push_back({key.owner, granted->second.answer});
+        // The reply was lost.
+        replies.push_back({key.owner, granted->second.reply});
         return;
     }
     if (m_waiting.contains(key)) {
         return;
     }
     if (claim.urgency == Urgency::Fresh && claim.promptTokens > 0) {
-        m_paces[claim.service].generations.add(claim.promptTokens, claim.memory);
+        m_estimators[claim.service].generations.add(claim.promptTokens, claim.memory);
     }
-    const Outlook expected = outlook(now, view, claim);
-    if (isHopeless(now, claim, expected)) {
+    const WaitEstimate expected = estimateWait(now, view, claim);
+    if (shouldRefuse(now, claim, expected)) {
         ++m_refusedAtOnce;
-        // Known now: the caller learns at once when to come back, and waits for nothing.
-        replies.push_back({key.owner, ClaimRefused {key.claim, expected.ahead, expected.forRoom}});
+        // Refusing immediately lets the caller retry sooner.
+        replies.push_back(
+            {key.owner, ClaimRefused {key.claim, expected.ahead, expected.memoryWait}});
         return;
     }
-    m_waiting.emplace(key, Waiting {claim, now, startBy(now, claim)});
+    m_waiting.emplace(key, WaitingClaim {claim, now, latestStart(now, claim)});
 }
 
-void EngineScheduler::take(TimePoint now, const Key &key, const RoomHeld &held)
+void EngineScheduler::process(TimePoint now, const ClaimKey &key, const RoomHeld &held)
 {
     if (m_granted.contains(key)) {
         return;
     }
     m_waiting.erase(key);
-    Granted granted;
+    GrantedClaim granted;
     granted.service = held.service;
     granted.run = RunNumber(++m_lastRun);
     granted.memory = held.memory;
     granted.decodeServer = held.decodeServer;
     granted.since = now;
-    granted.endsBy = now + held.lasts + ExpirySlack;
-    m_ledger.charge(held.decodeServer, granted.run, held.memory, now);
+    granted.deadline = now + held.lasts + ExpirySlack;
+    m_tracker.addRun(held.decodeServer, granted.run, held.memory, now);
     if (held.decodingFor) {
-        // Counted from now, a run half done would seem to want its whole output once more: after
-        // a change of scheduler all engines looked full for as long as their runs went on.
+        // Without the elapsed time, the forecast would count the full output again, and all engines
+        // would appear full after a change of scheduler.
         beginDecode(granted, now - *held.decodingFor);
     }
     m_granted.emplace(key, std::move(granted));
 }
 
-void EngineScheduler::take(TimePoint now, const Key &key, const PrefillEnded &ended)
+void EngineScheduler::process(TimePoint now, const ClaimKey &key, const PrefillEnded &ended)
 {
     const auto it = m_granted.find(key);
     if (it == m_granted.end()) {
         return;
     }
     if (!it->second.prefill) {
-        // Another scheduler had sent the prompt. Unless this one sees the run begin, it counts
-        // whole to its end.
-        if (ended.isDone && !it->second.decodesSince) {
+        // The prompt was sent under another scheduler. Unless the start of decoding is recorded,
+        // the run counts with its full output until it ends.
+        if (ended.isDone && !it->second.decodeStart) {
             beginDecode(it->second, now);
         }
         return;
     }
     const ServerName server = it->second.prefill->server;
     if (ended.isDone) {
-        m_ledger.endPrefill(*it->second.prefill, m_paces[it->second.service].prefill, now);
+        m_tracker.completePrefill(*it->second.prefill, m_estimators[it->second.service].prefill,
+                                  now);
         beginDecode(it->second, now);
-        m_ledger.workedWell(server);
+        m_tracker.recordSuccess(server);
     } else {
-        m_ledger.dropPrefill(*it->second.prefill, now);
-        ended.isReachable ? m_ledger.failed(server, now) : m_ledger.unreachable(server, now);
+        m_tracker.failPrefill(*it->second.prefill, now);
+        ended.isReachable ? m_tracker.recordFailure(server, now)
+                          : m_tracker.recordUnreachable(server, now);
     }
     it->second.prefill.reset();
 }
 
-void EngineScheduler::take(TimePoint now, const View &view, const Key &key, const ClaimEnded &ended)
+void EngineScheduler::process(TimePoint now, const View &view, const ClaimKey &key,
+                              const ClaimEnded &ended)
 {
     m_waiting.erase(key);
     const auto it = m_granted.find(key);
@@ -203,38 +207,38 @@
         return;
     }
     const ServerName server = it->second.decodeServer;
-    const ServerName prefillServer = it->second.answer.prefillServer;
+    const ServerName prefillServer = it->second.reply.prefillServer;
     const Duration held = now - it->second.since;
-    if (ended.end == ClaimEnd::Served && it->second.decodesSince) {
-        m_paces[it->second.service].decode.add(it->second.memory.outputTokens, ended.madeTokens,
-                                               now - *it->second.decodesSince);
+    if (ended.end == ClaimEnd::Served && it->second.decodeStart) {
+        m_estimators[it->second.service].decode.add(
+            it->second.memory.outputTokens, ended.madeTokens, now - *it->second.decodeStart);
     }
-    release(it, now);
+    removeGrant(it, now);
     if (ended.end == ClaimEnd::HadNoRoom) {
         const AnnouncedServer *known = view.servers.find(server);
         const Service *service = known ? view.routes.service(known->service) : nullptr;
-        m_ledger.refusedRoom(server, service && service->engine ? service->engine->memoryTokens : 0,
-                             now);
+        m_tracker.recordOutOfMemory(
+            server, service && service->engine ? service->engine->memoryTokens : 0, now);
     } else if (ended.end == ClaimEnd::EngineFailed) {
-        m_ledger.failed(server, now);
+        m_tracker.recordFailure(server, now);
     } else if (ended.end == ClaimEnd::Unreachable) {
-        m_ledger.unreachable(server, now);
+        m_tracker.recordUnreachable(server, now);
     } else if (ended.end == ClaimEnd::HandleLost) {
-        m_ledger.lostHandover(prefillServer, server, now);
+        m_tracker.recordTransferFailure(prefillServer, server, now);
     } else if (ended.end == ClaimEnd::Served) {
-        m_ledger.workedWell(server);
-        m_waits.addHeld(held);
+        m_tracker.recordSuccess(server);
+        m_waitEstimator.addHoldTime(held);
     }
 }
 
-void EngineScheduler::dropEarlierLives(const NodeLife &owner, TimePoint now)
+void EngineScheduler::removeEarlierIncarnations(const NodeLife &owner, TimePoint now)
 {
-    const auto [known, isNew] = m_lives.try_emplace(owner.node, owner.incarnation);
+    const auto [known, isNew] = m_incarnations.try_emplace(owner.node, owner.incarnation);
     if (isNew || known->second == owner.incarnation) {
         return;
     }
     known->second = owner.incarnation;
-    const auto isEarlier = [&owner](const Key &key) {
+    const auto isEarlier = [&owner](const ClaimKey &key) {
         return key.owner.node == owner.node && key.owner.incarnation != owner.incarnation;
     };
     std::erase_if(m_waiting, [&](const auto &one) { return isEarlier(one.first); });
@@ -242,191 +246,198 @@
         if (!isEarlier(one.first)) {
             return false;
         }
-        freeRoom(one.second, now);
+        releaseResources(one.second, now);
         return true;
     });
 }
 
-void EngineScheduler::beginDecode(Granted &granted, TimePoint now)
+void EngineScheduler::beginDecode(GrantedClaim &granted, TimePoint now)
 {
-    granted.decodesSince = now;
-    m_ledger.beginDecode(granted.decodeServer, granted.run, now);
+    granted.decodeStart = now;
+    m_tracker.beginDecode(granted.decodeServer, granted.run, now);
 }
 
-void EngineScheduler::freeRoom(const Granted &granted, TimePoint now)
+void EngineScheduler::releaseResources(const GrantedClaim &granted, TimePoint now)
 {
-    m_ledger.discharge(granted.decodeServer, granted.run);
+    m_tracker.removeRun(granted.decodeServer, granted.run);
     if (granted.prefill) {
-        m_ledger.withdrawPrefill(*granted.prefill, now);
+        m_tracker.cancelPrefill(*granted.prefill, now);
     }
 }
 
-void EngineScheduler::release(std::map<Key, Granted>::iterator it, TimePoint now)
+void EngineScheduler::removeGrant(std::map<ClaimKey, GrantedClaim>::iterator it, TimePoint now)
 {
-    freeRoom(it->second, now);
+    releaseResources(it->second, now);
     m_granted.erase(it);
 }
 
-void EngineScheduler::expire(TimePoint now)
+void EngineScheduler::removeExpired(TimePoint now)
 {
     for (auto it = m_granted.begin(); it != m_granted.end();) {
         const auto next = std::next(it);
-        if (now > it->second.endsBy) {
-            release(it, now);
+        if (now > it->second.deadline) {
+            removeGrant(it, now);
         }
         it = next;
     }
-    m_ledger.forgetIdle(now);
+    m_tracker.removeIdle(now);
 }
 
-void EngineScheduler::refuseLate(TimePoint now, SchedulerReplies &replies)
+void EngineScheduler::refuseOverdue(TimePoint now, SchedulerReplies &replies)
 {
     std::erase_if(m_waiting, [&](const auto &one) {
         const Duration waited = now - one.second.since;
-        const bool isOver = waited > one.second.claim.waitsAtMost;
-        if (isOver) {
+        const bool isOverdue = waited > one.second.claim.waitsAtMost;
+        if (isOverdue) {
             ++m_refusedAfterWait;
             replies.push_back({one.first.owner, ClaimRefused {one.first.claim, 0, waited}});
         }
-        return isOver;
+        return isOverdue;
     });
 }
 
-const ServicePace &EngineScheduler::paceOf(const ServiceName &service) const
+const ServiceEstimators &EngineScheduler::estimatorsOf(const ServiceName &service) const
 {
-    static const ServicePace Unknown;
-    const auto it = m_paces.find(service);
-    return it == m_paces.end() ? Unknown : it->second;
+    static const ServiceEstimators Unknown;
+    const auto it = m_estimators.find(service);
+    return it == m_estimators.end() ? Unknown : it->second;
 }
 
-TimePoint EngineScheduler::startBy(TimePoint now, const Claim &claim) const
+TimePoint EngineScheduler::latestStart(TimePoint now, const Claim &claim) const
 {
     return now + claim.untilTarget - FirstEventAfterPrefill
-        - m_ledger.prefillTime(ServerName(), claim.promptTokens, paceOf(claim.service).prefill,
-                               now);
+        - m_tracker.prefillTime(ServerName(), claim.promptTokens,
+                                estimatorsOf(claim.service).prefill, now);
 }
 
-bool EngineScheduler::isHopeless(TimePoint now, const Claim &claim, const Outlook &expected)
+bool EngineScheduler::shouldRefuse(TimePoint now, const Claim &claim, const WaitEstimate &expected)
 {
-    const PrefillPace &pace = paceOf(claim.service).prefill;
-    // A prompt so long that even idle engines would be late is no reason to refuse it for ever.
-    const bool couldBeInTime = claim.urgency == Urgency::Fresh
-        && m_ledger.prefillTime(ServerName(), claim.promptTokens, pace, now) < claim.untilTarget;
-    const Duration latest = claim.untilTarget - m_waits.allowanceForLarge(claim, pace);
-    return expected.forRoom > claim.waitsAtMost || (couldBeInTime && expected.firstEvent > latest);
+    const PrefillEstimator &estimator = estimatorsOf(claim.service).prefill;
+    // A prompt that would miss its target even on idle engines must not be refused forever.
+    const bool canMeetTarget = claim.urgency == Urgency::Fresh
+        && m_tracker.prefillTime(ServerName(), claim.promptTokens, estimator, now)
+            < claim.untilTarget;
+    const Duration latest =
+        claim.untilTarget - m_waitEstimator.longPromptAllowance(claim, estimator);
+    return expected.memoryWait > claim.waitsAtMost
+        || (canMeetTarget && expected.timeToFirstEvent > latest);
 }
 
-EngineChoice::Limit EngineScheduler::enginesWanted(const View &view,
+EngineSelector::Limit EngineScheduler::engineLimit(const View &view,
                                                    const ServiceName &service) const
 {
     const std::size_t domains = std::max<std::size_t>(view.servers.domainsOf(service).size(), 1);
     const std::size_t work = m_granted.size() + m_waiting.size();
-    return std::max(LeastEngines, EnginesForRun * work / domains);
+    return std::max(MinEngines, EnginesPerRun * work / domains);
 }
 
-EngineScheduler::Outlook EngineScheduler::outlook(TimePoint now, const View &view,
-                                                  const Claim &claim)
+EngineScheduler::WaitEstimate EngineScheduler::estimateWait(TimePoint now, const View &view,
+                                                            const Claim &claim)
 {
     const Service *service = view.routes.service(claim.service);
     if (!service || !service->engine) {
         return {};
     }
-    const ServicePace &pace = paceOf(claim.service);
-    const EngineChoice some(m_ledger, view.servers, *service, pace, now,
-                            enginesWanted(view, claim.service));
-    m_enginesLooked += some.looked();
-    const Outlook expected = outlook(now, some, claim);
-    if (!some.isLimited() || !isHopeless(now, claim, expected)) {
+    const ServiceEstimators &estimators = estimatorsOf(claim.service);
+    const EngineSelector someEngines(m_tracker, view.servers, *service, estimators, now,
+                                     engineLimit(view, claim.service));
+    m_enginesExamined += someEngines.examined();
+    const WaitEstimate expected = estimateWait(now, someEngines, claim);
+    if (!someEngines.isLimited() || !shouldRefuse(now, claim, expected)) {
         return expected;
     }
-    // No claim is refused for engines that were not looked at.
-    const EngineChoice all(m_ledger, view.servers, *service, pace, now);
-    m_enginesLooked += all.looked();
-    return outlook(now, all, claim);
+    // A claim is refused only after all engines were examined.
+    const EngineSelector allEngines(m_tracker, view.servers, *service, estimators, now);
+    m_enginesExamined += allEngines.examined();
+    return estimateWait(now, allEngines, claim);
 }
 
-EngineScheduler::Outlook EngineScheduler::outlook(TimePoint now, const EngineChoice &engines,
-                                                  const Claim &claim) const
+EngineScheduler::WaitEstimate EngineScheduler::estimateWait(TimePoint now,
+                                                            const EngineSelector &engines,
+                                                            const Claim &claim) const
 {
-    Outlook result;
-    const PrefillPace &prefillPace = paceOf(claim.service).prefill;
+    WaitEstimate result;
+    const PrefillEstimator &prefillEstimator = estimatorsOf(claim.service).prefill;
     double tokensAhead = 0;
     Duration promptsAhead {};
-    const TimePoint latest = startBy(now, claim);
+    const TimePoint latest = latestStart(now, claim);
     for (const auto &[key, waiting] : m_waiting) {
-        const bool goesBefore =
-            std::tie(waiting.claim.urgency, waiting.claim.priority, waiting.startBy)
+        const bool isAhead =
+            std::tie(waiting.claim.urgency, waiting.claim.priority, waiting.latestStart)
             <= std::tie(claim.urgency, claim.priority, latest);
-        if (waiting.claim.service == claim.service && goesBefore) {
+        if (waiting.claim.service == claim.service && isAhead) {
             ++result.ahead;
             tokensAhead += meanTokens(waiting.claim.memory);
-            promptsAhead += prefillPace.work(waiting.claim.promptTokens);
+            promptsAhead += prefillEstimator.computeTime(waiting.claim.promptTokens);
         }
     }
-    // Those who wait though a prompt would be read at once wait for room: what is free is too
-    // small for them, or kept for one of them.
-    const bool isRoomShort = result.ahead > 0 && engines.leastPrefillWait() <= LongPrefillWait;
-    const double free = isRoomShort ? 0 : engines.freeFor(claim.memory);
-    const double wanted = tokensAhead + meanTokens(claim.memory) - free;
-    if (engines.memory() > 0 && wanted > 0) {
-        result.forRoom = m_waits.untilFree(wanted / engines.memory());
-    }
-    // While it waits for room, the prompts before it are read.
-    const Duration least = m_ledger.prefillTime(ServerName(), claim.promptTokens, prefillPace, now);
-    Duration untilRead {};
-    if (claim.promptTokens > 0 && engines.hasPrefill()) {
-        // Decode engines read, too, while they have room for all.
-        const bool hasSpare = engines.freeFor({}) > tokensWaiting(claim.service);
-        const double readers = static_cast<double>(engines.prefillEngines())
-            + (hasSpare ? static_cast<double>(engines.decodeEngines())
-                       * EngineLedger::wholeReadsOfPrefill()
-                        : 0);
-        untilRead = engines.leastPrefillTime(claim.promptTokens)
+    // If claims wait although a prompt would be processed at once, they wait for memory: the free
+    // memory is too fragmented for them or reserved.
+    const bool isMemoryShort = result.ahead > 0 && engines.leastPrefillWait() <= LongPrefillWait;
+    const double free = isMemoryShort ? 0 : engines.freeMemoryFor(claim.memory);
+    const double requiredTokens = tokensAhead + meanTokens(claim.memory) - free;
+    if (engines.memory() > 0 && requiredTokens > 0) {
+        result.memoryWait = m_waitEstimator.timeUntilFree(requiredTokens / engines.memory());
+    }
+    // While this claim waits for memory, the prompts ahead of it are processed.
+    const Duration idlePrefillTime =
+        m_tracker.prefillTime(ServerName(), claim.promptTokens, prefillEstimator, now);
+    Duration timeToPrefill {};
+    if (claim.promptTokens > 0 && engines.hasPrefillEngines()) {
+        // Decode engines also prefill while they have memory for all waiting claims.
+        const bool isMemorySpare = engines.freeMemoryFor({}) > waitingTokens(claim.service);
+        const double prefillCapacity = static_cast<double>(engines.prefillEngines())
+            + (isMemorySpare ? static_cast<double>(engines.decodeEngines())
+                       * EngineTracker::localPrefillRatio()
+                             : 0);
+        timeToPrefill = engines.shortestPrefillTime(claim.promptTokens)
             + Duration(static_cast<Duration::rep>(static_cast<double>(promptsAhead.count())
-                                                  / readers));
+                                                  / prefillCapacity));
     }
-    result.firstEvent = std::max(untilRead, result.forRoom + least) + FirstEventAfterPrefill;
+    result.timeToFirstEvent =
+        std::max(timeToPrefill, result.memoryWait + idlePrefillTime) + FirstEventAfterPrefill;
     return result;
 }
 
-std::vector<EngineScheduler::WaitingMap::iterator>
-EngineScheduler::order(TimePoint now, Duration prefillWait, const ServiceName &service)
+std::vector<EngineScheduler::WaitingClaims::iterator>
+EngineScheduler::servingOrder(TimePoint now, Duration prefillWait, const ServiceName &service)
 {
-    struct Place
+    struct Entry
     {
         int rank = 0;
         std::uint32_t priority = 0;
-        TimePoint startBy {};
-        WaitingMap::iterator waiting;
+        TimePoint latestStart {};
+        WaitingClaims::iterator waiting;
     };
-    constexpr int Late = 2;
-    std::vector<Place> places;
+    constexpr int LateRank = 2;
+    std::vector<Entry> entries;
     for (auto it = m_waiting.begin(); it != m_waiting.end(); ++it) {
-        const Waiting &waiting = it->second;
+        const WaitingClaim &waiting = it->second;
         if (waiting.claim.service == service) {
             const bool isLate =
-                waiting.claim.urgency == Urgency::Fresh && now + prefillWait > waiting.startBy;
-            const int rank = isLate ? Late : static_cast<int>(waiting.claim.urgency);
-            places.push_back({rank, waiting.claim.priority, waiting.startBy, it});
+                waiting.claim.urgency == Urgency::Fresh && now + prefillWait > waiting.latestStart;
+            const int rank = isLate ? LateRank : static_cast<int>(waiting.claim.urgency);
+            entries.push_back({rank, waiting.claim.priority, waiting.latestStart, it});
         }
     }
-    std::stable_sort(places.begin(), places.end(), [](const Place &a, const Place &b) {
-        return std::tie(a.rank, a.priority, a.startBy) < std::tie(b.rank, b.priority, b.startBy);
+    std::stable_sort(entries.begin(), entries.end(), [](const Entry &a, const Entry &b) {
+        return std::tie(a.rank, a.priority, a.latestStart)
+            < std::tie(b.rank, b.priority, b.latestStart);
     });
-    std::vector<WaitingMap::iterator> ordered;
-    ordered.reserve(places.size());
-    for (const Place &place : places) {
-        ordered.push_back(place.waiting);
+    std::vector<WaitingClaims::iterator> ordered;
+    ordered.reserve(entries.size());
+    for (const Entry &entry : entries) {
+        ordered.push_back(entry.waiting);
     }
     return ordered;
 }
 
-void EngineScheduler::grant(TimePoint now, const View &view, SchedulerReplies &replies)
+void EngineScheduler::grantWaiting(TimePoint now, const View &view, SchedulerReplies &replies)
 {
-    if (m_waiting.size() > ManyWaiting && now < m_nextPass) {
+    if (m_waiting.size() > BatchingThreshold && now < m_nextPass) {
         return;
     }
-    m_nextPass = now + BetweenPasses;
+    m_nextPass = now + PassInterval;
     std::set<ServiceName> services;
     for (const auto &[key, waiting] : m_waiting) {
         services.insert(waiting.claim.service);
@@ -434,36 +445,37 @@
     for (const ServiceName &name : services) {
         const Service *service = view.routes.service(name);
         if (service && service->engine
-            && !grantOne(now, view, *service, enginesWanted(view, name), replies)) {
-            grantOne(now, view, *service, EngineChoice::All, replies);
+            && !grantForService(now, view, *service, engineLimit(view, name), replies)) {
+            grantForService(now, view, *service, EngineSelector::NoLimit, replies);
         }
     }
 }
 
-bool EngineScheduler::grantOne(TimePoint now, const View &view, const Service &service,
-                               EngineChoice::Limit limit, SchedulerReplies &replies)
+bool EngineScheduler::grantForService(TimePoint now, const View &view, const Service &service,
+                                      EngineSelector::Limit limit, SchedulerReplies &replies)
 {
-    Pass pass {EngineChoice(m_ledger, view.servers, service, paceOf(service.name), now, limit)};
-    m_enginesLooked += pass.engines.looked();
-    bool isAnyLeft = false;
-    pass.spare = pass.engines.freeFor({}) - tokensWaiting(service.name);
-    for (const auto it : order(now, pass.engines.leastPrefillWait(), service.name)) {
+    GrantPass pass {
+        EngineSelector(m_tracker, view.servers, service, estimatorsOf(service.name), now, limit)};
+    m_enginesExamined += pass.engines.examined();
+    bool isAnyWaiting = false;
+    pass.spareTokens = pass.engines.freeMemoryFor({}) - waitingTokens(service.name);
+    for (const auto it : servingOrder(now, pass.engines.leastPrefillWait(), service.name)) {
         if (tryGrant(now, pass, it->first, it->second, replies)) {
             m_waiting.erase(it);
             continue;
         }
-        isAnyLeft = true;
-        if (pass.isPrefillFull) {
+        isAnyWaiting = true;
+        if (pass.isPrefillSaturated) {
             break;
         }
-        if (now > it->second.since + KeepRoomAfter) {
-            pass.engines.keepRoom();
+        if (now > it->second.since + ReserveEngineAfter) {
+            pass.engines.reserveEngine();
         }
     }
-    return !isAnyLeft || !pass.engines.isLimited();
+    return !isAnyWaiting || !pass.engines.isLimited();
 }
 
-double EngineScheduler::tokensWaiting(const ServiceName &service) const
+double EngineScheduler::waitingTokens(const ServiceName &service) const
 {
     double tokens = 0;
     for (const auto &[key, waiting] : m_waiting) {
@@ -475,42 +487,45 @@
     return tokens;
 }
 
-bool EngineScheduler::tryGrant(TimePoint now, Pass &pass, const Key &key, const Waiting &waiting,
-                               SchedulerReplies &replies)
+bool EngineScheduler::tryGrant(TimePoint now, GrantPass &pass, const ClaimKey &key,
+                               const WaitingClaim &waiting, SchedulerReplies &replies)
 {
     const Claim &claim = waiting.claim;
-    if (pass.tooLarge != 0 && claim.memory.whole() >= pass.tooLarge && claim.without.empty()) {
+    if (pass.minUnplacedTokens != 0 && claim.memory.whole() >= pass.minUnplacedTokens
+        && claim.without.empty()) {
         return false;
     }
-    EngineChoice::DecodeRoom *room = pass.engines.chooseDecode(claim);
-    if (!room) {
+    EngineSelector::DecodeCandidate *candidate = pass.engines.chooseDecodeEngine(claim);
+    if (!candidate) {
         if (claim.without.empty()) {
-            pass.tooLarge = claim.memory.whole();
+            pass.minUnplacedTokens = claim.memory.whole();
         }
         return false;
     }
-    const AnnouncedServer *decode = room->server;
-    Granted granted;
-    const ServicePace &pace = paceOf(claim.service);
-    granted.answer = {key.claim, decode->name, {}, pace.work()};
-    if (claim.promptTokens > 0 && pass.engines.hasPrefill()) {
-        const AnnouncedServer *prefill = pass.engines.choosePrefill(claim, *decode);
+    const AnnouncedServer *decode = candidate->server;
+    GrantedClaim granted;
+    const ServiceEstimators &estimators = estimatorsOf(claim.service);
+    granted.reply = {key.claim, decode->name, {}, estimators.work()};
+    if (claim.promptTokens > 0 && pass.engines.hasPrefillEngines()) {
+        const AnnouncedServer *prefill = pass.engines.choosePrefillEngine(claim, *decode);
         if (prefill) {
             granted.prefill =
-                m_ledger.beginPrefill(prefill->name, claim.promptTokens, pace.prefill, now);
-            granted.answer.prefillServer = prefill->name;
+                m_tracker.beginPrefill(prefill->name, claim.promptTokens, estimators.prefill, now);
+            granted.reply.prefillServer = prefill->name;
         } else {
-            // Prompts are what binds, while memory for them all lies idle on decode engines.
-            const bool isPressed = now + WholeReadBefore > waiting.startBy;
-            room = isPressed && pass.spare > 0 ? pass.engines.chooseWholeRead(claim) : nullptr;
-            if (!room) {
-                pass.isPrefillFull = claim.without.empty();
+            // Prefill is the bottleneck while decode engines have memory for all waiting claims.
+            const bool isUrgent = now + LocalPrefillLeadTime > waiting.latestStart;
+            candidate = isUrgent && pass.spareTokens > 0
+                ? pass.engines.chooseLocalPrefillEngine(claim)
+                : nullptr;
+            if (!candidate) {
+                pass.isPrefillSaturated = claim.without.empty();
                 return false;
             }
-            decode = room->server;
-            granted.answer.decodeServer = decode->name;
-            granted.answer.readsWhole = true;
-            m_ledger.beginWholeRead(decode->name, claim.promptTokens, pace.prefill, now);
+            decode = candidate->server;
+            granted.reply.decodeServer = decode->name;
+            granted.reply.readsWhole = true;
+            m_tracker.beginLocalPrefill(decode->name, claim.promptTokens, estimators.prefill, now);
         }
     }
     granted.service = claim.service;
@@ -518,13 +533,13 @@
     granted.memory = claim.memory;
     granted.decodeServer = decode->name;
     granted.since = now;
-    granted.endsBy = now + claim.lasts + ExpirySlack;
-    m_ledger.charge(decode->name, granted.run, claim.memory, now);
+    granted.deadline = now + claim.lasts + ExpirySlack;
+    m_tracker.addRun(decode->name, granted.run, claim.memory, now);
     if (!granted.prefill) {
         beginDecode(granted, now);
     }
-    pass.engines.fill(*room, claim.memory);
-    replies.push_back({key.owner, granted.answer});
+    pass.engines.addRun(*candidate, claim.memory);
+    replies.push_back({key.owner, granted.reply});
     m_granted.emplace(key, std::move(granted));
     return true;
 }
--- a/src/scheduling/enginescheduler.h
+++ b/src/scheduling/enginescheduler.h
@@ -16,7 +16,7 @@
 
 namespace indigoway::scheduling {
 
-/** An answer to a node's claim. */
+/** Reply to the node that made a claim. */
 struct SchedulerReply
 {
     NodeLife to;
@@ -25,20 +25,21 @@
 using SchedulerReplies = std::vector<SchedulerReply>;
 
 /**
- * Gives out the room of model engines to all nodes: one node runs it for the others.
+ * Assigns claims of all nodes to the engines that generate tokens. One node runs it for the others.
  *
- * Nodes that choose alone cannot see each other's prompts, which then stand in line at some engines
- * while others are idle, with decode memory reserved for them. Here all prompts of an engine are
- * known, so that each is sent where it is read next, and none before it would be read soon.
+ * Nodes that choose engines independently don't see each other's prompts, so that some engines have
+ * queues while others are idle, with decode memory reserved for the queued prompts. The scheduler
+ * knows all prompts of an engine. It sends each to the engine that processes it first, and only if
+ * that happens soon.
  *
- * It is a help, not a guard: engines refuse what does not fit, so that two schedulers at a time,
- * or one that knows too little, cost time and never correctness. It keeps nothing that must last;
- * nodes tell a new one what they hold.
+ * Correctness doesn't depend on the scheduler, because engines refuse what exceeds their memory:
+ * two active schedulers, or one with incomplete state, only cost time. Its state is not persistent;
+ * nodes report their grants to a new scheduler.
  */
 class EngineScheduler
 {
 public:
-    /** What the scheduling node knows of engines and services. */
+    /** Engines and services that the scheduling node knows. */
     struct View
     {
         const ServerDirectory &servers;
@@ -47,103 +48,117 @@
 
     SchedulerReplies handle(TimePoint now, const View &view, const NodeLife &from,
                             const ToScheduler &message);
-    /** Grants what has come free and refuses what has waited too long. */
+    /** Grants claims that fit and refuses those that have waited too long. */
     SchedulerReplies tick(TimePoint now, const View &view);
-    /** When tick() is wanted at the latest; nothing while there are no claims. */
+    /** Returns the latest time for the next call of tick(), or nothing if there are no claims. */
     std::optional<TimePoint> nextTick(TimePoint now) const;
-    /** Over the engines of all services. */
+    /** Returns the state over the engines of all services. */
     SchedulerState state(TimePoint now, const View &view) const;
     std::size_t waiting() const { return m_waiting.size(); }
     std::size_t granted() const { return m_granted.size(); }
-    std::size_t engines() const { return m_ledger.size(); }
-    /** Engines that were looked at, for all claims so far. */
-    std::uint64_t enginesLooked() const { return m_enginesLooked; }
+    std::size_t engines() const { return m_tracker.size(); }
+    /** Returns the number of engines that were examined for all claims so far. */
+    std::uint64_t enginesLooked() const { return m_enginesExamined; }
 
 private:
-    struct Key
+    struct ClaimKey
     {
         NodeLife owner;
         ClaimId claim;
-        auto operator<=>(const Key &) const = default;
+        auto operator<=>(const ClaimKey &) const = default;
     };
-    struct Waiting
+    struct WaitingClaim
     {
         Claim claim;
         TimePoint since {};
-        TimePoint startBy {}; ///< A grant that comes later is too late for the target.
+        TimePoint latestStart {}; ///< Latest time of a grant that meets the claim's target.
     };
-    struct Granted
+    struct GrantedClaim
     {
         ServiceName service;
         RunNumber run;
         MemoryNeed memory;
         ServerName decodeServer;
         TimePoint since {};
-        std::optional<TimePoint> decodesSince;
-        TimePoint endsBy {};
-        std::optional<PrefillTurn> prefill; ///< While it is under way.
-        ClaimGranted answer;                ///< For a claim that is sent again.
+        std::optional<TimePoint> decodeStart;
+        TimePoint deadline {};
+        std::optional<PrefillAssignment> prefill; ///< Set while the prompt is being processed.
+        ClaimGranted reply;                       ///< Repeated if the claim is sent again.
     };
-    using WaitingMap = std::map<Key, Waiting>;
+    using WaitingClaims = std::map<ClaimKey, WaitingClaim>;
 
-    void take(TimePoint now, const View &view, const Key &key, const Claim &claim,
-              SchedulerReplies &replies);
-    void take(TimePoint now, const Key &key, const RoomHeld &held);
-    void take(TimePoint now, const Key &key, const PrefillEnded &ended);
-    void take(TimePoint now, const View &view, const Key &key, const ClaimEnded &ended);
-    void dropEarlierLives(const NodeLife &owner, TimePoint now);
-    /** The prompt has been read. */
-    void beginDecode(Granted &granted, TimePoint now);
-    void freeRoom(const Granted &granted, TimePoint now);
-    void release(std::map<Key, Granted>::iterator it, TimePoint now);
-    void expire(TimePoint now);
-    void refuseLate(TimePoint now, SchedulerReplies &replies);
-    /** What a claim that comes now would wait behind, and for how long. */
-    struct Outlook
+    void process(TimePoint now, const View &view, const ClaimKey &key, const Claim &claim,
+                 SchedulerReplies &replies);
+    void process(TimePoint now, const ClaimKey &key, const RoomHeld &held);
+    void process(TimePoint now, const ClaimKey &key, const PrefillEnded &ended);
+    void process(TimePoint now, const View &view, const ClaimKey &key, const ClaimEnded &ended);
+    void removeEarlierIncarnations(const NodeLife &owner, TimePoint now);
+    /** Records that the prompt has been processed. */
+    void beginDecode(GrantedClaim &granted, TimePoint now);
+    void releaseResources(const GrantedClaim &granted, TimePoint now);
+    void removeGrant(std::map<ClaimKey, GrantedClaim>::iterator it, TimePoint now);
+    void removeExpired(TimePoint now);
+    void refuseOverdue(TimePoint now, SchedulerReplies &replies);
+    /** Expected wait of a new claim. */
+    struct WaitEstimate
     {
         std::uint32_t ahead = 0;
-        Duration forRoom {};    ///< On a decode engine.
-        Duration firstEvent {}; ///< From now; the wait included.
+        Duration memoryWait {};       ///< Wait for memory on a decode engine.
+        Duration timeToFirstEvent {}; ///< From now, including the wait.
     };
-    Outlook outlook(TimePoint now, const View &view, const Claim &claim);
-    Outlook outlook(TimePoint now, const EngineChoice &engines, const Claim &claim) const;
-    /** Whether @p claim would not be served in time. */
-    bool isHopeless(TimePoint now, const Claim &claim, const Outlook &expected);
-    /** Engines that are looked at in a failure domain, for the work that there is. */
-    EngineChoice::Limit enginesWanted(const View &view, const ServiceName &service) const;
-    /** When @p claim has to be granted for its target, on engines that are idle. */
-    TimePoint startBy(TimePoint now, const Claim &claim) const;
-    const ServicePace &paceOf(const ServiceName &service) const;
-    void grant(TimePoint now, const View &view, SchedulerReplies &replies);
-    /** Over the claims on one service. */
-    struct Pass
+    WaitEstimate estimateWait(TimePoint now, const View &view, const Claim &claim);
+    WaitEstimate estimateWait(TimePoint now, const EngineSelector &engines,
+                              const Claim &claim) const;
+    /**
+     * Returns whether @p claim would wait too long or miss a target that it could meet on idle
+     * engines.
+     */
+    bool shouldRefuse(TimePoint now, const Claim &claim, const WaitEstimate &expected);
+    /** Returns how many engines to examine in each failure domain for the current load. */
+    EngineSelector::Limit engineLimit(const View &view, const ServiceName &service) const;
+    /**
+     * Returns the latest time at which @p claim can be granted and meet its target on idle engines.
+     */
+    TimePoint latestStart(TimePoint now, const Claim &claim) const;
+    const ServiceEstimators &estimatorsOf(const ServiceName &service) const;
+    void grantWaiting(TimePoint now, const View &view, SchedulerReplies &replies);
+    /** One pass over the claims on a service. */
+    struct GrantPass
     {
-        EngineChoice engines;
-        std::uint64_t tooLarge = 0; ///< No engine has room for so many tokens; 0: not known.
-        bool isPrefillFull = false;
-        /** Memory that would be left if all that wait were served at once; may be negative. */
-        double spare = 0;
+        EngineSelector engines;
+        /** Size of the smallest claim for which no engine has memory; 0 if there is none. */
+        std::uint64_t minUnplacedTokens = 0;
+        bool isPrefillSaturated = false;
+        /** Free memory after serving all waiting claims; negative if it doesn't suffice. */
+        double spareTokens = 0;
     };
-    /** Among so many engines; false if claims are left and there are more engines. */
-    bool grantOne(TimePoint now, const View &view, const Service &service,
-                  EngineChoice::Limit limit, SchedulerReplies &replies);
-    /** Those that wait for @p service, in the order in which they are served. */
-    std::vector<WaitingMap::iterator> order(TimePoint now, Duration prefillWait,
-                                            const ServiceName &service);
-    /** What the claims on @p service that wait want of memory, each at its most. */
-    double tokensWaiting(const ServiceName &service) const;
-    bool tryGrant(TimePoint now, Pass &pass, const Key &key, const Waiting &waiting,
+    /**
+     * Grants claims on @p service to at most @p limit engines of each phase in a failure domain.
+     * @return False if claims are left and some engines were not examined.
+     */
+    bool grantForService(TimePoint now, const View &view, const Service &service,
+                         EngineSelector::Limit limit, SchedulerReplies &replies);
+    /** Returns the claims that wait for @p service in the order in which they are served. */
+    std::vector<WaitingClaims::iterator> servingOrder(TimePoint now, Duration prefillWait,
+                                                      const ServiceName &service);
+    /**
+     * Returns the memory that the waiting claims on @p service need, counting their full output.
+     */
+    double waitingTokens(const ServiceName &service) const;
+    bool tryGrant(TimePoint now, GrantPass &pass, const ClaimKey &key, const WaitingClaim &waiting,
                   SchedulerReplies &replies);
 
-    EngineLedger m_ledger;
-    WaitingMap m_waiting;
-    std::map<Key, Granted> m_granted;
-    std::map<NodeName, Incarnation> m_lives; ///< Of the nodes that claim.
-    TimePoint m_nextPass {};                 ///< While many wait, not each message grants.
-    ClaimWaits m_waits;
-    std::map<ServiceName, ServicePace> m_paces;
+    EngineTracker m_tracker;
+    WaitingClaims m_waiting;
+    std::map<ClaimKey, GrantedClaim> m_granted;
+    /** Current incarnation of each node that makes claims. */
+    std::map<NodeName, Incarnation> m_incarnations;
+    /** Earliest next pass while more than BatchingThreshold claims wait. */
+    TimePoint m_nextPass {};
+    WaitEstimator m_waitEstimator;
+    std::map<ServiceName, ServiceEstimators> m_estimators;
     std::uint64_t m_lastRun = 0;
-    std::uint64_t m_enginesLooked = 0;
+    std::uint64_t m_enginesExamined = 0;
     std::uint64_t m_refusedAtOnce = 0;
     std::uint64_t m_refusedAfterWait = 0;
 };
--- a/src/scheduling/generationpace.cpp
+++ b/src/scheduling/generationpace.cpp
@@ -7,52 +7,52 @@
 
 namespace {
 
-/** Each run's weight fades with those after it: some hundred make up the estimate. */
-constexpr double Fading = 0.99;
-/** Runs that were short end first; fewer than this would be mostly those. */
-constexpr double FewestSamples = 8;
-/** Guesses count as unbiased until runs tell otherwise; as much as this many runs say so. */
-constexpr double GuessWeight = 5;
-/** Of guesses until learnt: half of what is guessed either way, the widest that callers show. */
-constexpr double SpreadAtFirst = 0.5;
-constexpr double MostMiss = 3;
+/** Decay per sample; about a hundred runs determine the estimate. */
+constexpr double Decay = 0.99;
+/** Short runs finish first, so fewer samples would be biased towards them. */
+constexpr double MinSamples = 8;
+/** Number of samples that the prior counts for: output estimates are assumed to be unbiased. */
+constexpr double PriorWeight = 5;
+/** Relative spread of output estimates before there are samples. */
+constexpr double InitialSpread = 0.5;
+constexpr double MaxError = 3;
 
 } // namespace
 
-void GenerationPace::add(std::uint64_t guessed, std::uint64_t made, Duration took)
+void DecodeEstimator::add(std::uint64_t estimated, std::uint64_t generated, Duration elapsed)
 {
-    if (guessed == 0 || made == 0 || took.count() <= 0) {
+    if (estimated == 0 || generated == 0 || elapsed.count() <= 0) {
         return;
     }
-    const double expected = static_cast<double>(guessed) * madeOfGuessed();
-    const double miss =
-        std::min(std::abs(static_cast<double>(made) - expected) / expected, MostMiss);
-    m_samples = m_samples * Fading + 1;
-    m_guessed = m_guessed * Fading + static_cast<double>(guessed);
-    m_made = m_made * Fading + static_cast<double>(made);
-    m_seconds = m_seconds * Fading
-        + std::chrono::duration_cast<std::chrono::duration<double>>(took).count();
-    m_squaredMisses = m_squaredMisses * Fading + miss * miss;
+    const double expected = static_cast<double>(estimated) * outputRatio();
+    const double error =
+        std::min(std::abs(static_cast<double>(generated) - expected) / expected, MaxError);
+    m_samples = m_samples * Decay + 1;
+    m_estimatedTokens = m_estimatedTokens * Decay + static_cast<double>(estimated);
+    m_generatedTokens = m_generatedTokens * Decay + static_cast<double>(generated);
+    m_seconds = m_seconds * Decay
+        + std::chrono::duration_cast<std::chrono::duration<double>>(elapsed).count();
+    m_squaredErrors = m_squaredErrors * Decay + error * error;
 }
 
-std::optional<double> GenerationPace::secondsPerToken() const
+std::optional<double> DecodeEstimator::secondsPerToken() const
 {
-    return m_samples < FewestSamples ? std::nullopt : std::optional(m_seconds / m_made);
+    return m_samples < MinSamples ? std::nullopt : std::optional(m_seconds / m_generatedTokens);
 }
 
-double GenerationPace::madeOfGuessed() const
+double DecodeEstimator::outputRatio() const
 {
     if (m_samples == 0) {
         return 1;
     }
-    const double prior = GuessWeight * m_guessed / m_samples;
-    return (m_made + prior) / (m_guessed + prior);
+    const double prior = PriorWeight * m_estimatedTokens / m_samples;
+    return (m_generatedTokens + prior) / (m_estimatedTokens + prior);
 }
 
-double GenerationPace::spread() const
+double DecodeEstimator::spread() const
 {
-    const double prior = GuessWeight * SpreadAtFirst * SpreadAtFirst;
-    return std::sqrt((m_squaredMisses + prior) / (m_samples + GuessWeight));
+    const double prior = PriorWeight * InitialSpread * InitialSpread;
+    return std::sqrt((m_squaredErrors + prior) / (m_samples + PriorWeight));
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/generationpace.h
+++ b/src/scheduling/generationpace.h
@@ -7,39 +7,46 @@
 
 namespace indigoway::scheduling {
 
-/** What a run takes of a decode engine's memory, as far as it is known before. In tokens. */
+/** Decode memory that a run needs, in tokens. */
 struct MemoryNeed
 {
-    std::uint64_t contextTokens = 0; ///< Held from the start: the prompt, and what was made before.
-    std::uint64_t outputTokens = 0;  ///< To be made, as the caller guesses.
-    std::uint64_t mostOutputTokens = 0; ///< It ends by then at the latest; 0: not known.
+    /** Held from the start: the prompt and the output of earlier attempts. */
+    std::uint64_t contextTokens = 0;
+    std::uint64_t outputTokens = 0;     ///< Output length as estimated by the caller.
+    std::uint64_t mostOutputTokens = 0; ///< Maximum output length; 0 if unknown.
     std::uint64_t whole() const { return contextTokens + outputTokens; }
     bool operator==(const MemoryNeed &) const = default;
 };
 
 /**
- * How fast the engines of a service make tokens, and how many they make of those that callers
- * guess; learnt from runs that have ended. Nothing is assumed before: engines differ tenfold.
+ * Estimates decode speed and output length of a service from its finished runs. There is no default
+ * speed, because engines differ by a factor of ten.
  */
-class GenerationPace
+class DecodeEstimator
 {
 public:
-    /** A run made @p made tokens in @p took, of which its caller had guessed @p guessed. */
-    void add(std::uint64_t guessed, std::uint64_t made, Duration took);
-
-    /** Of one run, between its tokens; nothing until enough runs have ended. */
+    /**
+     * Adds a finished run.
+     * @param estimated Output tokens that the caller estimated.
+     * @param generated Output tokens of the run.
+     * @param elapsed Time from the first to the last token.
+     */
+    void add(std::uint64_t estimated, std::uint64_t generated, Duration elapsed);
+
+    /** Returns the time between two tokens of a run, or nothing until enough runs have finished. */
     std::optional<double> secondsPerToken() const;
-    /** Tokens made for each one guessed. */
-    double madeOfGuessed() const;
-    /** Standard deviation of the tokens made, as a part of those expected. */
+    /** Returns the ratio of generated to estimated output tokens. */
+    double outputRatio() const;
+    /** Returns the relative standard deviation of the output length. */
     double spread() const;
 
 private:
-    double m_samples = 0; ///< Faded, as all sums.
-    double m_guessed = 0;
-    double m_made = 0;
+    /** Number of samples, decaying like all sums here. */
+    double m_samples = 0;
+    double m_estimatedTokens = 0;
+    double m_generatedTokens = 0;
     double m_seconds = 0;
-    double m_squaredMisses = 0; ///< Of made against expected, relative.
+    double m_squaredErrors = 0; ///< Squares of the relative error of the expected output length.
 };
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/generationwork.cpp
+++ b/src/scheduling/generationwork.cpp
@@ -4,9 +4,12 @@
 
 namespace {
 
-/** Some two hundred make up the estimate: engines change their phase for lasting shifts only. */
-constexpr double Fading = 0.995;
-constexpr double FewestSamples = 20;
+/**
+ * Decay per sample; about two hundred claims determine the estimate, so that only lasting changes
+ * of the load cause phase changes.
+ */
+constexpr double Decay = 0.995;
+constexpr double MinSamples = 20;
 
 double secondsOf(Duration duration)
 {
@@ -15,33 +18,34 @@
 
 } // namespace
 
-void GenerationsSeen::add(std::uint32_t promptTokens, const MemoryNeed &need)
+void GenerationStatistics::add(std::uint32_t promptTokens, const MemoryNeed &need)
 {
     const auto context = static_cast<double>(need.contextTokens);
     const auto output = static_cast<double>(need.outputTokens);
-    m_samples = m_samples * Fading + 1;
-    m_prompt = m_prompt * Fading + promptTokens;
-    m_context = m_context * Fading + context;
-    m_contextTimesOutput = m_contextTimesOutput * Fading + context * output;
-    m_squaredOutput = m_squaredOutput * Fading + output * output;
+    m_samples = m_samples * Decay + 1;
+    m_prompt = m_prompt * Decay + promptTokens;
+    m_context = m_context * Decay + context;
+    m_contextTimesOutput = m_contextTimesOutput * Decay + context * output;
+    m_squaredOutput = m_squaredOutput * Decay + output * output;
 }
 
-std::optional<GenerationWork> GenerationsSeen::work(const PrefillPace &prefill,
-                                                    const GenerationPace &decode) const
+std::optional<GenerationWork> GenerationStatistics::work(const PrefillEstimator &prefill,
+                                                         const DecodeEstimator &decode) const
 {
     const auto secondsPerToken = decode.secondsPerToken();
-    if (m_samples < FewestSamples || !secondsPerToken || !prefill.isKnown()) {
+    if (m_samples < MinSamples || !secondsPerToken || !prefill.isKnown()) {
         return std::nullopt;
     }
     const auto prompt = static_cast<std::uint32_t>(m_prompt / m_samples);
-    const double prefillSeconds = secondsOf(prefill.work(prompt));
-    // A context is held while its prompt is read, and while the output grows beside it.
-    const double made = decode.madeOfGuessed();
-    const double whileRead =
-        m_context * (prefillSeconds + secondsOf(prefill.answerTime())) / m_samples;
-    const double whileMade =
-        (m_contextTimesOutput * made + m_squaredOutput * made * made / 2) * *secondsPerToken;
-    return GenerationWork {prefillSeconds, whileRead + whileMade / m_samples};
+    const double prefillSeconds = secondsOf(prefill.computeTime(prompt));
+    // The context is held during prefill and while the output grows.
+    const double outputRatio = decode.outputRatio();
+    const double whilePrefilling =
+        m_context * (prefillSeconds + secondsOf(prefill.responseOverhead())) / m_samples;
+    const double whileDecoding =
+        (m_contextTimesOutput * outputRatio + m_squaredOutput * outputRatio * outputRatio / 2)
+        * *secondsPerToken;
+    return GenerationWork {prefillSeconds, whilePrefilling + whileDecoding / m_samples};
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/generationwork.h
+++ b/src/scheduling/generationwork.h
@@ -8,28 +8,33 @@
 
 namespace indigoway::scheduling {
 
-/** What one generation takes of the engines, on average. */
+/** Mean engine resources that a generation of a service uses. */
 struct GenerationWork
 {
-    double prefillSeconds = 0;     ///< Of a prefill engine's time.
-    double decodeTokenSeconds = 0; ///< Of a decode engine's memory, over the time it is held.
+    double prefillSeconds = 0; ///< Time on a prefill engine.
+    /** Decode memory, integrated over the time it is held, in token seconds. */
+    double decodeTokenSeconds = 0;
     bool operator==(const GenerationWork &) const = default;
 };
 
 /**
- * What the generations of a service are like, from what is claimed for them. With the engines'
- * pace it gives their work, long before the first of them have ended.
+ * Collects prompt and output lengths of a service's claims. With the speed of the engines, they
+ * give the work of a generation before any has finished.
  */
-class GenerationsSeen
+class GenerationStatistics
 {
 public:
     void add(std::uint32_t promptTokens, const MemoryNeed &need);
-    /** Nothing until enough is known of the generations and of the engines. */
-    std::optional<GenerationWork> work(const PrefillPace &prefill,
-                                       const GenerationPace &decode) const;
+    /**
+     * Returns the mean work of a generation, or nothing until there are enough samples of claims
+     * and engines.
+     */
+    std::optional<GenerationWork> work(const PrefillEstimator &prefill,
+                                       const DecodeEstimator &decode) const;
 
 private:
-    double m_samples = 0; ///< Faded, as all sums.
+    /** Number of samples, decaying like all sums here. */
+    double m_samples = 0;
     double m_prompt = 0;
     double m_context = 0;
     double m_contextTimesOutput = 0;
--- a/src/scheduling/handoverlosses.cpp
+++ b/src/scheduling/handoverlosses.cpp
@@ -7,9 +7,11 @@
 
 namespace {
 
-/** Two engines that both fail with it by chance are rarer than one that fails with both. */
+/**
+ * Two engines failing with the same partner by chance are less likely than a fault of the partner.
+ */
 constexpr std::size_t PartnersThatAccuse = 2;
-/** Of losses that nothing explains yet; a busy fleet under many faults has some ten a second. */
+/** Bounds the unattributed failures that are kept. */
 constexpr std::size_t MostRemembered = 100;
 
 } // namespace
@@ -79,11 +81,11 @@
            && (now > m_losses.front().at + LeftOutFor || m_losses.size() > MostRemembered)) {
         m_losses.pop_front();
     }
-    const auto isOver = [now](const auto &one) {
+    const auto isOverdue = [now](const auto &one) {
         return now >= one.second;
     };
-    std::erase_if(m_badSources, isOver);
-    std::erase_if(m_badTargets, isOver);
+    std::erase_if(m_badSources, isOverdue);
+    std::erase_if(m_badTargets, isOverdue);
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/handoverlosses.h
+++ b/src/scheduling/handoverlosses.h
@@ -8,37 +8,37 @@
 namespace indigoway::scheduling {
 
 /**
- * Which engine a KV cache that could not be handed over speaks against: the prefill engine that
- * kept it, or the decode engine that was to take it.
+ * Determines which engine is at fault for failed KV cache transfers: the prefill engine that kept
+ * the cache, or the decode engine that was to fetch it.
  *
- * Both answer alike, and one loss alone accuses neither. An engine that has lost hand-overs with
- * two different partners is the likely cause of both; a loss that one engine explains counts no
- * more against the other. Blaming the prefill engine each time, one decode engine that had begun
- * to change its phase put a whole pool of prefill engines out within two seconds.
+ * Both report the same error, so a single failure blames neither. An engine that fails with two
+ * different partners is at fault; failures that it explains don't count against its partners. If
+ * prefill engines were always blamed, a single decode engine that changes its phase would exclude
+ * all of them.
  */
 class HandoverLosses
 {
 public:
-    /** How long an engine is left out; one that changes its phase, or restarts, is back by then. */
+    /** How long an engine is excluded; covers a phase change or a restart. */
     static constexpr Duration LeftOutFor = std::chrono::milliseconds(2500);
 
     void lost(const ServerName &prefill, const ServerName &decode, TimePoint now);
-    /** Its KV caches are lost at whichever engine takes them. */
+    /** Returns whether transfers from @p prefill fail with any decode engine. */
     bool isBadSource(const ServerName &prefill, TimePoint now) const
     {
         return isLeftOut(m_badSources, prefill, now);
     }
-    /** It takes no KV cache over, whoever has made it. */
+    /** Returns whether transfers to @p decode fail with any prefill engine. */
     bool isBadTarget(const ServerName &decode, TimePoint now) const
     {
         return isLeftOut(m_badTargets, decode, now);
     }
 
-    /** It has lost one, and nothing tells yet whose fault that was. */
+    /** Returns whether @p prefill has a recent failure that is not attributed to an engine yet. */
     bool isInDoubt(const ServerName &prefill, TimePoint now) const;
     /**
-     * They have lost one with each other, and it is not known whose fault it was. Paired with
-     * others, each shows it soon; paired again, they would lose the next one as well.
+     * Returns whether a transfer between the two has failed recently and is not attributed yet.
+     * Pairing both with other engines shows which one is at fault.
      */
     bool haveLost(const ServerName &prefill, const ServerName &decode, TimePoint now) const;
 
@@ -49,15 +49,19 @@
         ServerName decode;
         TimePoint at {};
     };
-    using LeftOut = std::map<ServerName, TimePoint>; ///< Until when.
+    using LeftOut = std::map<ServerName, TimePoint>; ///< End of each engine's exclusion.
 
     static bool isLeftOut(const LeftOut &engines, const ServerName &engine, TimePoint now);
-    /** Different engines that @p engine, named by @p side, has lost hand-overs with. */
+    /**
+     * Returns the number of different partners with which @p engine has failed.
+     * @param side Member of Loss that names @p engine.
+     * @param otherSide Member of Loss that names its partner.
+     */
     std::size_t partners(ServerName Loss::*side, ServerName Loss::*otherSide,
                          const ServerName &engine) const;
     void forgetOld(TimePoint now);
 
-    std::deque<Loss> m_losses; ///< Not explained yet; oldest first.
+    std::deque<Loss> m_losses; ///< Failures not attributed to an engine yet, oldest first.
     LeftOut m_badSources;
     LeftOut m_badTargets;
 };
--- a/src/scheduling/memoryforecast.cpp
+++ b/src/scheduling/memoryforecast.cpp
@@ -8,61 +8,65 @@
 namespace {
 
 /**
- * Standard deviations of what is to be made that are kept free. Where memory runs out the engine
- * preempts a run: its caller sees a pause, and its whole prompt is read again. What is kept free
- * beyond that serves nobody.
+ * Standard deviations of the expected output that are kept free. When memory runs out, the engine
+ * preempts a run and processes its whole prompt again later.
  */
-constexpr double Margin = 0.75;
+constexpr double DeviationMargin = 0.75;
 /**
- * A run that has made all that was expected of it goes on all the same. Of lengths that spread
- * widely, those that are past their mean still have a part of it before them: this much of it for
- * each unit of spread.
+ * Expected remaining output of a run that has exceeded its expected length, in standard deviations.
  */
-constexpr double RestOfOverdue = 0.6;
+constexpr double OverdueRemainder = 0.6;
 
-/** Where the most is not known: hardly any run makes more than so much beyond its mean. */
-constexpr double MostDeviations = 3;
+/** Bounds the output in standard deviations if its maximum is unknown. */
+constexpr double MaxDeviations = 3;
 
-struct Expectation
+struct ExpectedUsage
 {
     double held = 0;
     double remaining = 0;
     double spread = 0;
 };
 
-/** @p made: tokens so far. */
-Expectation expectationOf(const MemoryNeed &need, const GenerationPace &pace, double made)
+/** Returns the expected memory use of a run that has generated @p generated tokens. */
+ExpectedUsage expectedUsage(const MemoryNeed &need, const DecodeEstimator &estimator,
+                            double generated)
 {
-    const double output = static_cast<double>(need.outputTokens) * pace.madeOfGuessed();
+    const double output = static_cast<double>(need.outputTokens) * estimator.outputRatio();
     const auto context = static_cast<double>(need.contextTokens);
-    const double most = need.mostOutputTokens > 0 ? static_cast<double>(need.mostOutputTokens)
-                                                  : output * (1 + MostDeviations * pace.spread());
-    // The engine may have gone silent: its runs do not end, nor do they grow for ever.
-    const double held = std::min(made, most);
-    const double overdue = std::min(output * pace.spread() * RestOfOverdue, most - held);
+    const double most = need.mostOutputTokens > 0
+        ? static_cast<double>(need.mostOutputTokens)
+        : output * (1 + MaxDeviations * estimator.spread());
+    // Runs on an unresponsive engine don't end, and must not grow without bound.
+    const double held = std::min(generated, most);
+    const double overdue = std::min(output * estimator.spread() * OverdueRemainder, most - held);
     const double remaining = std::max(output - held, overdue);
-    return {context + held, remaining, remaining * pace.spread()};
+    return {context + held, remaining, remaining * estimator.spread()};
 }
 
-/** Until the pace is known: the whole of it at once, and until the run is told to have ended. */
-Expectation unknownCourse(const MemoryNeed &need, const GenerationPace &pace)
+/**
+ * Returns the usage before the decode speed is known: the full output from the start until the run
+ * ends.
+ */
+ExpectedUsage fullReservation(const MemoryNeed &need, const DecodeEstimator &estimator)
 {
     const double output = static_cast<double>(need.outputTokens);
-    return {static_cast<double>(need.contextTokens) + output, 0, output * pace.spread()};
+    return {static_cast<double>(need.contextTokens) + output, 0, output * estimator.spread()};
 }
 
 } // namespace
 
-void MemoryOutlook::add(double held, double remaining, double spread)
+void MemoryProjection::add(double held, double remaining, double spread)
 {
-    const auto later = std::ranges::upper_bound(m_shares, remaining, {}, &Share::remaining);
-    m_shares.insert(later, {held, remaining});
+    const auto later =
+        std::ranges::upper_bound(m_projectedRuns, remaining, {}, &ProjectedRun::remaining);
+    m_projectedRuns.insert(later, {held, remaining});
     m_variance += spread * spread;
 }
 
-double MemoryOutlook::peakWith(double held, double remaining, double spread) const
+double MemoryProjection::peakWith(double held, double remaining, double spread) const
 {
-    // From the last to end to the first: at the end of each, those after it are still there.
+    // Visits runs from the last to end to the first: when a run ends, those visited before it still
+    // hold memory.
     double highest = 0;
     double heldAfter = 0;
     double count = 0;
@@ -73,7 +77,7 @@
         highest = std::max(highest, heldAfter + count * remaining);
         isAdded = true;
     };
-    for (auto it = m_shares.rbegin(); it != m_shares.rend(); ++it) {
+    for (auto it = m_projectedRuns.rbegin(); it != m_projectedRuns.rend(); ++it) {
         if (!isAdded && held > 0 && remaining >= it->remaining) {
             addNew();
         }
@@ -84,7 +88,7 @@
     if (!isAdded && held > 0) {
         addNew();
     }
-    return highest + Margin * std::sqrt(m_variance + spread * spread);
+    return highest + DeviationMargin * std::sqrt(m_variance + spread * spread);
 }
 
 void MemoryForecast::add(RunNumber run, const MemoryNeed &need)
@@ -92,11 +96,11 @@
     m_runs[run] = {need, std::nullopt};
 }
 
-void MemoryForecast::begin(RunNumber run, TimePoint now)
+void MemoryForecast::beginDecode(RunNumber run, TimePoint now)
 {
     const auto it = m_runs.find(run);
     if (it != m_runs.end()) {
-        it->second.began = now;
+        it->second.decodeStart = now;
     }
 }
 
@@ -105,7 +109,7 @@
     return m_runs.erase(run) > 0;
 }
 
-std::uint64_t MemoryForecast::wholeTokens() const
+std::uint64_t MemoryForecast::totalTokens() const
 {
     std::uint64_t tokens = 0;
     for (const auto &[number, run] : m_runs) {
@@ -114,37 +118,37 @@
     return tokens;
 }
 
-MemoryOutlook MemoryForecast::outlook(const GenerationPace &pace, TimePoint now) const
+MemoryProjection MemoryForecast::projection(const DecodeEstimator &estimator, TimePoint now) const
 {
-    const auto secondsPerToken = pace.secondsPerToken();
-    MemoryOutlook outlook;
+    const auto secondsPerToken = estimator.secondsPerToken();
+    MemoryProjection projection;
     for (const auto &[number, run] : m_runs) {
-        Expectation expected = unknownCourse(run.need, pace);
+        ExpectedUsage expected = fullReservation(run.need, estimator);
         if (secondsPerToken) {
-            const Duration since = run.began ? Duration(now - *run.began) : Duration(0);
+            const Duration since = run.decodeStart ? Duration(now - *run.decodeStart) : Duration(0);
             const double seconds =
                 std::chrono::duration_cast<std::chrono::duration<double>>(since).count();
-            expected = expectationOf(run.need, pace, seconds / *secondsPerToken);
+            expected = expectedUsage(run.need, estimator, seconds / *secondsPerToken);
         }
-        outlook.add(expected.held, expected.remaining, expected.spread);
+        projection.add(expected.held, expected.remaining, expected.spread);
     }
-    return outlook;
+    return projection;
 }
 
-double MemoryForecast::peakWith(const MemoryOutlook &outlook, const MemoryNeed &need,
-                                const GenerationPace &pace)
+double MemoryForecast::peakWith(const MemoryProjection &projection, const MemoryNeed &need,
+                                const DecodeEstimator &estimator)
 {
-    const Expectation expected =
-        pace.secondsPerToken() ? expectationOf(need, pace, 0) : unknownCourse(need, pace);
-    return outlook.peakWith(expected.held, expected.remaining, expected.spread);
+    const ExpectedUsage expected = estimator.secondsPerToken() ? expectedUsage(need, estimator, 0)
+                                                               : fullReservation(need, estimator);
+    return projection.peakWith(expected.held, expected.remaining, expected.spread);
 }
 
-void MemoryForecast::addTo(MemoryOutlook &outlook, const MemoryNeed &need,
-                           const GenerationPace &pace)
+void MemoryForecast::addTo(MemoryProjection &projection, const MemoryNeed &need,
+                           const DecodeEstimator &estimator)
 {
-    const Expectation expected =
-        pace.secondsPerToken() ? expectationOf(need, pace, 0) : unknownCourse(need, pace);
-    outlook.add(expected.held, expected.remaining, expected.spread);
+    const ExpectedUsage expected = estimator.secondsPerToken() ? expectedUsage(need, estimator, 0)
+                                                               : fullReservation(need, estimator);
+    projection.add(expected.held, expected.remaining, expected.spread);
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/memoryforecast.h
+++ b/src/scheduling/memoryforecast.h
@@ -14,57 +14,65 @@
 using RunNumber = Number<struct EngineRunTag>;
 
 /**
- * The course of one decode engine's memory from now on, if nothing is added. Each run holds its
- * context at once, grows by a token at a time, all at the same pace, and gives all back when it
- * ends; so the memory is at its highest just before one of them ends.
+ * Projected memory use of one decode engine without further runs. Each run holds its context from
+ * the start, grows by one token at a time, at the same speed as the others, and frees all its
+ * memory when it ends. The peak is therefore just before the end of a run.
  */
-class MemoryOutlook
+class MemoryProjection
 {
 public:
-    /** A run that holds @p held tokens and is to make @p remaining more, give or take @p spread. */
+    /**
+     * Adds a run.
+     * @param held Tokens that the run holds now.
+     * @param remaining Expected number of further output tokens.
+     * @param spread Standard deviation of @p remaining.
+     */
     void add(double held, double remaining, double spread);
-    /** The highest that the memory comes to. */
+    /** Returns the highest expected memory use in tokens, with a safety margin. */
     double peak() const { return peakWith(0, 0, 0); }
-    /** The same if such a run were added. */
+    /** Returns the peak with an additional run; the parameters are those of add(). */
     double peakWith(double held, double remaining, double spread) const;
 
 private:
-    struct Share
+    struct ProjectedRun
     {
         double held = 0;
         double remaining = 0;
     };
-    std::vector<Share> m_shares; ///< Those that end first come first.
-    double m_variance = 0;       ///< Of all that is to be made.
+    std::vector<ProjectedRun> m_projectedRuns; ///< Sorted by remaining tokens, ascending.
+    double m_variance = 0;                     ///< Sum of the variances of the remaining output.
 };
 
 /**
- * The runs on one decode engine, and what memory they will want. Where each run counted whole from
- * its start, 0.69 of an engine's memory was in use with answers as long as their prompts, at twice
- * the load that it carries; looked ahead like this, 0.8 to 0.9.
+ * Runs on one decode engine and their expected memory use. Accounting for growth over time lets
+ * more runs share an engine than reserving the whole output of each run from its start.
  */
 class MemoryForecast
 {
 public:
     void add(RunNumber run, const MemoryNeed &need);
-    /** Its first token is made; until then a run holds its context only. */
-    void begin(RunNumber run, TimePoint now);
-    /** False if it is not known. */
+    /** Records the first token of the run; until then it holds only its context. */
+    void beginDecode(RunNumber run, TimePoint now);
+    /**
+     * Removes a run.
+     * @return False if the run is unknown.
+     */
     bool remove(RunNumber run);
     std::size_t runs() const { return m_runs.size(); }
-    /** All that its runs may want, as if all were at their end at the same time. */
-    std::uint64_t wholeTokens() const;
-    MemoryOutlook outlook(const GenerationPace &pace, TimePoint now) const;
-    /** Adds a run that has not begun to @p outlook. */
-    static double peakWith(const MemoryOutlook &outlook, const MemoryNeed &need,
-                           const GenerationPace &pace);
-    static void addTo(MemoryOutlook &outlook, const MemoryNeed &need, const GenerationPace &pace);
+    /** Returns the context and full output of all runs in tokens. */
+    std::uint64_t totalTokens() const;
+    MemoryProjection projection(const DecodeEstimator &estimator, TimePoint now) const;
+    /** Returns the peak of @p projection with an additional run that has not started decoding. */
+    static double peakWith(const MemoryProjection &projection, const MemoryNeed &need,
+                           const DecodeEstimator &estimator);
+    static void addTo(MemoryProjection &projection, const MemoryNeed &need,
+                      const DecodeEstimator &estimator);
 
 private:
     struct Run
     {
         MemoryNeed need;
-        std::optional<TimePoint> began;
+        std::optional<TimePoint> decodeStart;
     };
 
     std::map<RunNumber, Run> m_runs;
--- a/src/scheduling/prefillpace.cpp
+++ b/src/scheduling/prefillpace.cpp
@@ -6,33 +6,27 @@
 
 namespace {
 
-/** Some fifty prompts make up the estimate. */
-constexpr double Fading = 0.98;
-/** Of prompts that follow another: two hundred, so that the engines' speeds and lengths even out.
- */
-constexpr double BusyFading = 0.995;
-/**
- * Before any prompt was read: a middling engine, 50 tokens a millisecond. Two prompts' weight, so
- * that five real ones outweigh it, on an engine ten times as fast or slow too.
- */
-constexpr double SecondsPerTokenAtFirst = 20e-6;
-constexpr double FixedSecondsAtFirst = 0.01;
-constexpr double ShortPrompt = 500;
-constexpr double LongPrompt = 8'000;
-constexpr double WeightAtFirst = 1;
-/** A sample counts as at most so many times the estimate: one slow engine is not all of them. */
-constexpr double MostRatio = 3;
-/** Engines' speeds differ by a third; with so many prompts the slope is right to some 6 in 100. */
-constexpr std::uint32_t FewestSamples = 30;
-constexpr double LeastSecondsPerToken = 1e-8;
+/** Decay per sample; about fifty prompts determine the estimate. */
+constexpr double Decay = 0.98;
+/** Decay per back-to-back sample; about two hundred, to average over engines and prompt lengths. */
+constexpr double BackToBackDecay = 0.995;
+/** Prior of 50 tokens per millisecond with the weight of two samples. */
+constexpr double InitialSecondsPerToken = 20e-6;
+constexpr double InitialFixedSeconds = 0.01;
+constexpr double InitialShortPrompt = 500;
+constexpr double InitialLongPrompt = 8'000;
+constexpr double InitialWeight = 1;
+/** Limits the influence of a single slow engine. */
+constexpr double MaxSampleRatio = 3;
+/** Samples after which the time per token is accurate to several percent. */
+constexpr std::uint32_t MinSamples = 30;
+constexpr double MinSecondsPerToken = 1e-8;
 /**
- * Of a prompt's time, as work, until prompts that follow each other tell it. The first prompts that
- * a new scheduler sees may be long for other reasons than their length. Taken for free, they all
- * went to one engine, and since free prompts never seem to follow each other it stayed so for
- * fifteen seconds. A quarter keeps lines short enough for that; no engine is known whose answer is
- * three times as long on its way as in the making.
+ * Minimum share of the response time that counts as compute time until there are back-to-back
+ * samples. Without it, misleading first samples could make compute time appear as zero, and all
+ * prompts would go to one engine.
  */
-constexpr double LeastWorkPart = 0.25;
+constexpr double MinComputeShare = 0.25;
 
 Duration durationOf(double seconds)
 {
@@ -41,67 +35,70 @@
 
 } // namespace
 
-PrefillPace::PrefillPace()
+PrefillEstimator::PrefillEstimator()
 {
-    for (const double tokens : {ShortPrompt, LongPrompt}) {
-        addSample(tokens, tokens * SecondsPerTokenAtFirst + FixedSecondsAtFirst, WeightAtFirst);
+    for (const double tokens : {InitialShortPrompt, InitialLongPrompt}) {
+        addSample(tokens, tokens * InitialSecondsPerToken + InitialFixedSeconds, InitialWeight);
     }
-    m_line = fit();
+    m_fit = fit();
 }
 
-void PrefillPace::add(std::uint32_t tokens, Duration took)
+void PrefillEstimator::add(std::uint32_t tokens, Duration elapsed)
 {
     if (tokens == 0) {
         return;
     }
-    const double expected = m_line.secondsPerToken * tokens + m_line.fixedSeconds;
-    const double seconds = std::chrono::duration_cast<std::chrono::duration<double>>(took).count();
-    m_weight *= Fading;
-    m_tokens *= Fading;
-    m_seconds *= Fading;
-    m_squaredTokens *= Fading;
-    m_products *= Fading;
+    const double expected = m_fit.secondsPerToken * tokens + m_fit.fixedSeconds;
+    const double seconds =
+        std::chrono::duration_cast<std::chrono::duration<double>>(elapsed).count();
+    m_weight *= Decay;
+    m_tokens *= Decay;
+    m_seconds *= Decay;
+    m_squaredTokens *= Decay;
+    m_products *= Decay;
     ++m_samples;
-    addSample(tokens, std::clamp(seconds, expected / MostRatio, expected * MostRatio), 1);
-    m_line = fit();
+    addSample(tokens, std::clamp(seconds, expected / MaxSampleRatio, expected * MaxSampleRatio), 1);
+    m_fit = fit();
 }
 
-void PrefillPace::addNext(std::uint32_t tokens, Duration after)
+void PrefillEstimator::addBackToBack(std::uint32_t tokens, Duration interval)
 {
     if (tokens == 0) {
         return;
     }
-    const double expected =
-        std::chrono::duration_cast<std::chrono::duration<double>>(work(tokens) + answerTime())
-            .count();
-    const double seconds = std::chrono::duration_cast<std::chrono::duration<double>>(after).count();
-    m_busyPrompts = m_busyPrompts * BusyFading + 1;
-    m_busySeconds = m_busySeconds * BusyFading + std::min(seconds, expected * MostRatio);
-    m_busyTokens = m_busyTokens * BusyFading + tokens;
-    m_line = fit();
+    const double expected = std::chrono::duration_cast<std::chrono::duration<double>>(
+                                computeTime(tokens) + responseOverhead())
+                                .count();
+    const double seconds =
+        std::chrono::duration_cast<std::chrono::duration<double>>(interval).count();
+    m_backToBackPrompts = m_backToBackPrompts * BackToBackDecay + 1;
+    m_backToBackSeconds =
+        m_backToBackSeconds * BackToBackDecay + std::min(seconds, expected * MaxSampleRatio);
+    m_backToBackTokens = m_backToBackTokens * BackToBackDecay + tokens;
+    m_fit = fit();
 }
 
-bool PrefillPace::isKnown() const
+bool PrefillEstimator::isKnown() const
 {
-    return m_samples >= FewestSamples && !wantsNext();
+    return m_samples >= MinSamples && !needsBackToBackSamples();
 }
 
-bool PrefillPace::wantsNext() const
+bool PrefillEstimator::needsBackToBackSamples() const
 {
-    return m_busyPrompts < FewestSamples;
+    return m_backToBackPrompts < MinSamples;
 }
 
-Duration PrefillPace::work(std::uint32_t tokens) const
+Duration PrefillEstimator::computeTime(std::uint32_t tokens) const
 {
-    return durationOf(m_line.secondsPerToken * tokens);
+    return durationOf(m_fit.secondsPerToken * tokens);
 }
 
-Duration PrefillPace::answerTime() const
+Duration PrefillEstimator::responseOverhead() const
 {
-    return durationOf(m_line.fixedSeconds);
+    return durationOf(m_fit.fixedSeconds);
 }
 
-void PrefillPace::addSample(double tokens, double seconds, double weight)
+void PrefillEstimator::addSample(double tokens, double seconds, double weight)
 {
     m_weight += weight;
     m_tokens += weight * tokens;
@@ -110,18 +107,19 @@
     m_products += weight * tokens * seconds;
 }
 
-PrefillPace::Line PrefillPace::fit() const
+PrefillEstimator::LinearFit PrefillEstimator::fit() const
 {
     const double meanTokens = m_tokens / m_weight;
     const double meanSeconds = m_seconds / m_weight;
     const double variance = m_squaredTokens / m_weight - meanTokens * meanTokens;
     const double covariance = m_products / m_weight - meanTokens * meanSeconds;
-    // Prompts that are all of one length tell nothing about the fixed part.
+    // Prompts of a single length give no information about the fixed overhead.
     const double slope = variance > 1 ? covariance / variance : meanSeconds / meanTokens;
-    const double most = std::max(meanSeconds / meanTokens, LeastSecondsPerToken);
-    const double perToken = wantsNext()
-        ? std::clamp(slope, LeastWorkPart * most, most)
-        : std::clamp(m_busySeconds / m_busyTokens, LeastSecondsPerToken, most);
+    const double maxSecondsPerToken = std::max(meanSeconds / meanTokens, MinSecondsPerToken);
+    const double perToken = needsBackToBackSamples()
+        ? std::clamp(slope, MinComputeShare * maxSecondsPerToken, maxSecondsPerToken)
+        : std::clamp(m_backToBackSeconds / m_backToBackTokens, MinSecondsPerToken,
+                     maxSecondsPerToken);
     return {perToken, std::max(meanSeconds - perToken * meanTokens, 0.0)};
 }
 
--- a/src/scheduling/prefillpace.h
+++ b/src/scheduling/prefillpace.h
@@ -7,61 +7,63 @@
 namespace indigoway::scheduling {
 
 /**
- * How long a service's engines take for a prompt: a part that grows with its tokens, in which the
- * engine reads no other, and a fixed part, the way there and back. Learnt from prompts that found
- * their engine idle. What prompts take of an engine's time shows better where one follows the
- * other, and is learnt there.
+ * Estimates the processing time of prompts on a service's engines: a part proportional to the
+ * prompt length, during which the engine processes no other prompt, and a fixed overhead, such as
+ * the network delay. Samples are prompts that found their engine idle. The time per token is taken
+ * from prompts processed back to back, where it is more accurate.
  */
-class PrefillPace
+class PrefillEstimator
 {
 public:
-    PrefillPace();
+    PrefillEstimator();
 
-    /** A prompt that waited for no other was read in @p took. */
-    void add(std::uint32_t tokens, Duration took);
+    /** Adds the response time of a prompt that was sent to an idle engine. */
+    void add(std::uint32_t tokens, Duration elapsed);
 
-    /** The next answer of an engine that always had a prompt to read came @p after the one before.
+    /**
+     * Adds a prompt that was already queued when the engine finished the preceding one.
+     * @param interval Time between the two responses.
      */
-    void addNext(std::uint32_t tokens, Duration after);
+    void addBackToBack(std::uint32_t tokens, Duration interval);
 
-    /** Enough prompts were seen to tell what they take of an engine's time. */
+    /** Returns whether there are enough samples for the compute time. */
     bool isKnown() const;
     /**
-     * Too few prompts followed another one yet. Where engines are idle none would: each goes to
-     * an engine without a line.
+     * Returns whether there are too few back-to-back samples. At low load there are none by chance,
+     * because each prompt goes to an idle engine.
      */
-    bool wantsNext() const;
+    bool needsBackToBackSamples() const;
     /**
-     * While which the engine reads no other prompt. By prompts that followed each other, as soon
-     * as there are enough: at full load prompts that find their engine idle are few and unlike the
-     * others, and by their slope too few engines would be kept for prompts.
+     * Returns the time for which a prompt occupies the engine. It relies on back-to-back samples as
+     * soon as there are enough: at full load, prompts that find an engine idle are rare and not
+     * representative, and their slope underestimates the need for prefill engines.
      */
-    Duration work(std::uint32_t tokens) const;
-    /** Beyond work(), from sending a prompt to its answer. */
-    Duration answerTime() const;
+    Duration computeTime(std::uint32_t tokens) const;
+    /** Returns the response time of a prompt beyond its compute time. */
+    Duration responseOverhead() const;
 
 private:
-    struct Line
+    struct LinearFit
     {
         double secondsPerToken = 0;
         double fixedSeconds = 0;
     };
-    Line fit() const;
+    LinearFit fit() const;
     void addSample(double tokens, double seconds, double weight);
 
-    // Faded sums of a fit by least squares.
+    // Decaying sums of a least-squares fit.
     double m_weight = 0;
-    std::uint32_t m_samples = 0; ///< Seen in all.
+    std::uint32_t m_samples = 0; ///< Total number of samples.
     double m_tokens = 0;
     double m_seconds = 0;
     double m_squaredTokens = 0;
     double m_products = 0;
-    Line m_line;
+    LinearFit m_fit;
 
-    // Faded sums over prompts that followed another one.
-    double m_busyPrompts = 0;
-    double m_busySeconds = 0;
-    double m_busyTokens = 0;
+    // Decaying sums over prompts processed back to back.
+    double m_backToBackPrompts = 0;
+    double m_backToBackSeconds = 0;
+    double m_backToBackTokens = 0;
 };
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/schedulerchoice.h
+++ b/src/scheduling/schedulerchoice.h
@@ -8,11 +8,11 @@
 namespace indigoway::scheduling {
 
 /**
- * The node of @p members that schedules the engines: the one whose VM has most processor time;
- * among equals the one that announced itself first, so that a node that comes back takes nothing
- * over: a scheduler that begins has yet to learn what the engines hold. All nodes that know the
- * same members agree; while they do not, there are two schedulers, which costs time only. Nothing
- * if none takes claims.
+ * Returns the node of @p members that schedules the engines: the one whose VM has the largest CPU
+ * share, and among equals the one that announced itself first. A returning node therefore doesn't
+ * replace a scheduler that already knows the engines' load. Nodes with the same view of the members
+ * agree; otherwise there are temporarily two schedulers, which costs only time.
+ * @return Nothing if no member takes claims.
  */
 std::optional<NodeEntry> schedulerOf(const std::vector<const NodeEntry *> &members);
 
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** Bounds what a stray or forged datagram can claim. */
-constexpr std::uint64_t MostTokens = 100'000'000;
-constexpr Duration LongestChange = std::chrono::minutes(10);
+/** Bounds values in stray or forged datagrams. */
+constexpr std::uint64_t MaxTokens = 100'000'000;
+constexpr Duration MaxPhaseChangeDuration = std::chrono::minutes(10);
 
-Json::Value head(const char *kind, const NodeLife &from)
+Json::Value header(const char *kind, const NodeLife &from)
 {
     Json::Value value;
     value["kind"] = kind;
@@ -21,9 +21,9 @@
     return value;
 }
 
-Json::Value head(const char *kind, const NodeLife &from, ClaimId claim)
+Json::Value header(const char *kind, const NodeLife &from, ClaimId claim)
 {
-    Json::Value value = head(kind, from);
+    Json::Value value = header(kind, from);
     value["claim"] = Json::UInt64(claim.value());
     return value;
 }
@@ -40,12 +40,12 @@
     value["most_output"] = Json::UInt64(need.mostOutputTokens);
 }
 
-/** Nothing if no engine could hold so much. */
-std::optional<MemoryNeed> readNeed(const Json::Value &value)
+/** Reads a memory need, or nothing if it exceeds MaxTokens. */
+std::optional<MemoryNeed> readMemoryNeed(const Json::Value &value)
 {
     const MemoryNeed need {numberMember(value, "context"), numberMember(value, "output"),
                            numberMember(value, "most_output")};
-    if (std::max({need.contextTokens, need.outputTokens, need.mostOutputTokens}) > MostTokens) {
+    if (std::max({need.contextTokens, need.outputTokens, need.mostOutputTokens}) > MaxTokens) {
         return std::nullopt;
     }
     return need;
@@ -53,7 +53,7 @@
 
 Json::Value body(const NodeLife &from, const Claim &claim)
 {
-    Json::Value value = head("claim", from, claim.claim);
+    Json::Value value = header("claim", from, claim.claim);
     value["service"] = claim.service.text();
     value["domain"] = claim.domain.text();
     value["prompt"] = claim.promptTokens;
@@ -71,7 +71,7 @@
 
 Json::Value body(const NodeLife &from, const RoomHeld &held)
 {
-    Json::Value value = head("held", from, held.claim);
+    Json::Value value = header("held", from, held.claim);
     value["service"] = held.service.text();
     write(value, held.memory);
     value["decode"] = held.decodeServer.text();
@@ -84,7 +84,7 @@
 
 Json::Value body(const NodeLife &from, const PrefillEnded &ended)
 {
-    Json::Value value = head("prefilled", from, ended.claim);
+    Json::Value value = header("prefilled", from, ended.claim);
     value["done"] = ended.isDone;
     value["reachable"] = ended.isReachable;
     return value;
@@ -92,7 +92,7 @@
 
 Json::Value body(const NodeLife &from, const ClaimEnded &ended)
 {
-    Json::Value value = head("ended", from, ended.claim);
+    Json::Value value = header("ended", from, ended.claim);
     value["how"] = static_cast<unsigned>(ended.end);
     value["made"] = Json::UInt64(ended.madeTokens);
     return value;
@@ -100,7 +100,7 @@
 
 Json::Value body(const NodeLife &from, const EngineChanging &changing)
 {
-    Json::Value value = head("changing", from);
+    Json::Value value = header("changing", from);
     value["server"] = changing.server.text();
     value["to"] = changing.to == EnginePhase::Prefill ? "prefill" : "decode";
     value["lasts_us"] = Json::Int64(changing.lasts.count());
@@ -110,7 +110,7 @@
 
 Json::Value body(const NodeLife &from, const WorkAsked &asked)
 {
-    Json::Value value = head("work_asked", from);
+    Json::Value value = header("work_asked", from);
     value["service"] = asked.service.text();
     return value;
 }
@@ -123,7 +123,7 @@
 
 Json::Value body(const NodeLife &from, const WorkTold &told)
 {
-    Json::Value value = head("work", from);
+    Json::Value value = header("work", from);
     value["service"] = told.service.text();
     write(value, told.work);
     return value;
@@ -131,12 +131,12 @@
 
 Json::Value body(const NodeLife &from, const ClaimQueued &queued)
 {
-    return head("queued", from, queued.claim);
+    return header("queued", from, queued.claim);
 }
 
 Json::Value body(const NodeLife &from, const ClaimGranted &granted)
 {
-    Json::Value value = head("granted", from, granted.claim);
+    Json::Value value = header("granted", from, granted.claim);
     value["decode"] = granted.decodeServer.text();
     value["prefill"] = granted.prefillServer.text();
     value["whole"] = granted.readsWhole;
@@ -148,13 +148,13 @@
 
 Json::Value body(const NodeLife &from, const ClaimRefused &refused)
 {
-    Json::Value value = head("refused", from, refused.claim);
+    Json::Value value = header("refused", from, refused.claim);
     value["ahead"] = refused.ahead;
     value["wait_us"] = Json::Int64(refused.expectedWait.count());
     return value;
 }
 
-/** Nothing if it has no sender. */
+/** Reads the sender, or nothing if the node name is missing. */
 std::optional<NodeLife> senderOf(const Json::Value &value)
 {
     NodeLife from {NodeName(stringMember(value, "node")), Incarnation(numberMember(value, "life"))};
@@ -168,8 +168,8 @@
     claim.service = ServiceName(stringMember(value, "service"));
     claim.domain = DomainName(stringMember(value, "domain"));
     const std::uint64_t prompt = numberMember(value, "prompt");
-    const auto memory = readNeed(value);
-    if (prompt > MostTokens || !memory) {
+    const auto memory = readMemoryNeed(value);
+    if (prompt > MaxTokens || !memory) {
         return std::nullopt;
     }
     claim.memory = *memory;
@@ -198,7 +198,7 @@
     RoomHeld held;
     held.claim = id;
     held.service = ServiceName(stringMember(value, "service"));
-    const auto memory = readNeed(value);
+    const auto memory = readMemoryNeed(value);
     if (!memory) {
         return std::nullopt;
     }
@@ -214,11 +214,11 @@
 std::optional<ToScheduler> readEnded(const Json::Value &value, ClaimId id)
 {
     const std::uint64_t how = numberMember(value, "how");
-    const std::uint64_t made = numberMember(value, "made");
-    if (how > static_cast<unsigned>(ClaimEnd::HandleLost) || made > MostTokens) {
+    const std::uint64_t generated = numberMember(value, "made");
+    if (how > static_cast<unsigned>(ClaimEnd::HandleLost) || generated > MaxTokens) {
         return std::nullopt;
     }
-    return ClaimEnded {id, static_cast<ClaimEnd>(how), made};
+    return ClaimEnded {id, static_cast<ClaimEnd>(how), generated};
 }
 
 std::optional<ToScheduler> readChanging(const Json::Value &value)
@@ -228,9 +228,9 @@
                              toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
                              durationMember(value, "lasts_us"),
                              value["accepted"].isBool() && value["accepted"].asBool()};
-    const bool isUsable = !changing.server.isEmpty() && changing.lasts >= Duration(0)
-        && changing.lasts <= LongestChange;
-    return isUsable ? std::optional<ToScheduler>(std::move(changing)) : std::nullopt;
+    const bool isValid = !changing.server.isEmpty() && changing.lasts >= Duration(0)
+        && changing.lasts <= MaxPhaseChangeDuration;
+    return isValid ? std::optional<ToScheduler>(std::move(changing)) : std::nullopt;
 }
 
 std::optional<ToScheduler> readToScheduler(const Json::Value &value)
@@ -306,15 +306,15 @@
 }
 
 template <typename Message>
-std::string encodeAny(const Datagram<Message> &datagram)
+std::string encodeDatagram(const Datagram<Message> &datagram)
 {
-    return jsonText(
-        std::visit([&](const auto &one) { return body(datagram.from, one); }, datagram.message));
+    return jsonText(std::visit([&](const auto &member) { return body(datagram.from, member); },
+                               datagram.message));
 }
 
 template <typename Message>
-std::optional<Datagram<Message>> readAny(const Json::Value &value,
-                                         std::optional<Message> (*read)(const Json::Value &))
+std::optional<Datagram<Message>> readDatagram(const Json::Value &value,
+                                              std::optional<Message> (*read)(const Json::Value &))
 {
     const auto from = senderOf(value);
     auto message = from ? read(value) : std::nullopt;
@@ -328,12 +328,12 @@
 
 std::string encode(const Datagram<ToScheduler> &datagram)
 {
-    return encodeAny(datagram);
+    return encodeDatagram(datagram);
 }
 
 std::string encode(const Datagram<FromScheduler> &datagram)
 {
-    return encodeAny(datagram);
+    return encodeDatagram(datagram);
 }
 
 std::optional<Datagram<ToScheduler>> decodeToScheduler(const std::string &text)
@@ -348,12 +348,12 @@
 
 std::optional<Datagram<ToScheduler>> readDatagramToScheduler(const Json::Value &value)
 {
-    return readAny<ToScheduler>(value, &readToScheduler);
+    return readDatagram<ToScheduler>(value, &readToScheduler);
 }
 
 std::optional<Datagram<FromScheduler>> readDatagramFromScheduler(const Json::Value &value)
 {
-    return readAny<FromScheduler>(value, &readFromScheduler);
+    return readDatagram<FromScheduler>(value, &readFromScheduler);
 }
 
 } // namespace indigoway::scheduling
--- a/src/scheduling/schedulercodec.h
+++ b/src/scheduling/schedulercodec.h
@@ -9,7 +9,7 @@
 
 namespace indigoway::scheduling {
 
-/** A message with the life of the node that sends it. */
+/** Message with the incarnation of the sending node. */
 template <typename Message>
 struct Datagram
 {
@@ -19,16 +19,21 @@
 };
 
 /**
- * JSON in single datagrams. Between the nodes JSON-RPC over HTTP is the rule; a claim is decided
- * within milliseconds or is worthless, so that waiting for a lost packet's repetition, or for a
- * connection to a node that is gone, is what this avoids.
+ * Encodes a message as JSON for a single UDP datagram. Nodes otherwise use JSON-RPC over HTTP;
+ * claims are too short-lived to wait for retransmissions or for connections to a dead node.
  */
 std::string encode(const Datagram<ToScheduler> &datagram);
 std::string encode(const Datagram<FromScheduler> &datagram);
-/** Nothing if @p text is no such message. */
+/**
+ * Decodes a datagram.
+ * @return Nothing if @p text is not a valid message.
+ */
 std::optional<Datagram<ToScheduler>> decodeToScheduler(const std::string &text);
 std::optional<Datagram<FromScheduler>> decodeFromScheduler(const std::string &text);
-/** As above, of text that has been parsed. */
+/**
+ * Reads a message from parsed JSON.
+ * @return Nothing if @p value is not a valid message.
+ */
 std::optional<Datagram<ToScheduler>> readDatagramToScheduler(const Json::Value &value);
 std::optional<Datagram<FromScheduler>> readDatagramFromScheduler(const Json::Value &value);
 
--- a/src/scheduling/schedulermessages.h
+++ b/src/scheduling/schedulermessages.h
@@ -11,37 +11,43 @@
 #include <variant>
 #include <vector>
 
-/** @file What nodes and the scheduler of their engines tell each other, each in one datagram. */
+/** @file Messages between nodes and the engine scheduler, each sent in one datagram. */
 namespace indigoway::scheduling {
 
-/** A claim of one node; its next life starts anew. */
+/** Identifies a claim within one incarnation of a node. */
 using ClaimId = Number<struct SchedulerClaimTag>;
 
-/** Who goes first where engines are short. */
+/** Serving order of claims while engines are short. */
 enum class Urgency {
-    GoesOn,     ///< A stream that broke off in the middle: its caller is already being answered.
-    Fresh,      ///< Can meet its target.
-    ComingBack, ///< Was turned away before: late already, and served with the room others leave.
+    GoesOn,     ///< Continues an interrupted stream that its caller is already receiving.
+    Fresh,      ///< First attempt, which can meet its target.
+    ComingBack, ///< Was refused before and is late already; served after all others.
 };
 
-/** Asks for a decode engine with room and for a prefill engine. Sent again, it is the same. */
+/**
+ * Requests memory on a decode engine and a prefill engine. Sending a claim again has no further
+ * effect.
+ */
 struct Claim
 {
     ClaimId claim;
     ServiceName service;
-    DomainName domain;              ///< Where the caller is served.
-    std::uint32_t promptTokens = 0; ///< To be prefilled; 0: only a decode engine is wanted.
-    MemoryNeed memory;              ///< On the decode engine.
+    DomainName domain;              ///< Failure domain of the node that serves the caller.
+    std::uint32_t promptTokens = 0; ///< Tokens to prefill; 0 if only a decode engine is needed.
+    MemoryNeed memory;              ///< Memory needed on the decode engine.
     Urgency urgency = Urgency::Fresh;
-    std::uint32_t priority = 0;      ///< Among claims that are as urgent; 0 goes first.
-    Duration waitsAtMost {};         ///< It is refused rather than wait longer.
-    Duration untilTarget {};         ///< Left for the first event; negative if it is late already.
-    Duration lasts {};               ///< The request has ended by then, whatever happens.
-    std::vector<ServerName> without; ///< Engines that have failed this request.
+    std::uint32_t priority = 0; ///< Order among claims of the same urgency; 0 goes first.
+    Duration waitsAtMost {};    ///< Maximum wait, after which the claim is refused.
+    /** Time left until the target for the first event; negative if it has passed. */
+    Duration untilTarget {};
+    Duration lasts {};               ///< Time after which the request has ended in any case.
+    std::vector<ServerName> without; ///< Engines that have already failed this request.
     bool operator==(const Claim &) const = default;
 };
 
-/** A node's request holds room that another scheduler, or the node itself, found. */
+/**
+ * Reports memory that a request holds and that another scheduler, or the node itself, had assigned.
+ */
 struct RoomHeld
 {
     ClaimId claim;
@@ -49,46 +55,52 @@
     MemoryNeed memory;
     ServerName decodeServer;
     Duration lasts {};
-    std::optional<Duration> decodingFor; ///< Since its first token; nothing if it has made none.
+    std::optional<Duration> decodingFor; ///< Time since the first token; unset before it.
     bool operator==(const RoomHeld &) const = default;
 };
 
 struct PrefillEnded
 {
     ClaimId claim;
-    bool isDone = false;     ///< False: the engine failed.
-    bool isReachable = true; ///< False: it did not even take the connection.
+    bool isDone = false;     ///< False if the engine failed.
+    bool isReachable = true; ///< False if the engine refused the connection.
     bool operator==(const PrefillEnded &) const = default;
 };
 
 enum class ClaimEnd {
-    Served,       ///< The decode engine did its part.
-    Dropped,      ///< Nobody waits for it any more.
-    HadNoRoom,    ///< The decode engine refused, whatever the scheduler thought.
-    EngineFailed, ///< The decode engine broke off.
-    Unreachable,  ///< The decode engine did not take the connection.
-    HandleLost,   ///< The prefill engine's KV cache could not be had any more.
+    Served,       ///< The decode engine completed its part.
+    Dropped,      ///< The caller has left.
+    HadNoRoom,    ///< The decode engine refused the run for lack of memory.
+    EngineFailed, ///< The decode engine failed during the run.
+    Unreachable,  ///< The decode engine refused the connection.
+    HandleLost,   ///< The KV cache of the prefill engine was no longer available.
 };
 
 struct ClaimEnded
 {
     ClaimId claim;
     ClaimEnd end = ClaimEnd::Served;
-    std::uint64_t madeTokens = 0; ///< Of what was served; 0 if it is not known.
+    std::uint64_t madeTokens = 0; ///< Output tokens of a served run; 0 if unknown.
     bool operator==(const ClaimEnded &) const = default;
 };
 
-/** The sender orders an engine to change its phase: it turns work away until it is back. */
+/**
+ * Reports that an engine is ordered to change its phase; it refuses work until it is announced in
+ * the new one.
+ */
 struct EngineChanging
 {
     ServerName server;
     EnginePhase to = EnginePhase::None;
-    Duration lasts {};       ///< From now, at the most; 0: it stays in its phase after all.
-    bool isAccepted = false; ///< The engine has said that it carries the order out.
+    /** Maximum duration from now; 0 if the engine keeps its phase after all. */
+    Duration lasts {};
+    bool isAccepted = false; ///< Whether the engine has accepted the order.
     bool operator==(const EngineChanging &) const = default;
 };
 
-/** The sender gives orders to engines and goes by what their work is. */
+/**
+ * Asks for the mean work of a service's generations. Sent by the node that orders phase changes.
+ */
 struct WorkAsked
 {
     ServiceName service;
@@ -98,7 +110,7 @@
 using ToScheduler =
     std::variant<Claim, RoomHeld, PrefillEnded, ClaimEnded, EngineChanging, WorkAsked>;
 
-/** The claim is known and waits. */
+/** Confirms that the claim is waiting. */
 struct ClaimQueued
 {
     ClaimId claim;
@@ -109,22 +121,23 @@
 {
     ClaimId claim;
     ServerName decodeServer;
-    ServerName prefillServer;           ///< Empty: the decode engine is to read the prompt.
-    std::optional<GenerationWork> work; ///< Of the service, as the scheduler has learnt it.
-    bool readsWhole = false; ///< The decode engine reads the prompt, though others could later.
+    ServerName prefillServer;           ///< Empty if the decode engine processes the prompt.
+    std::optional<GenerationWork> work; ///< Mean work of the service's generations, if known.
+    /** Whether the decode engine processes the prompt because prefill engines would be too late. */
+    bool readsWhole = false;
     bool operator==(const ClaimGranted &) const = default;
 };
 
-/** No room will come free in time. */
+/** Refuses a claim for which no memory will be free in time. */
 struct ClaimRefused
 {
     ClaimId claim;
-    std::uint32_t ahead = 0; ///< Claims that waited before it.
+    std::uint32_t ahead = 0; ///< Claims that wait ahead of this one.
     Duration expectedWait {};
     bool operator==(const ClaimRefused &) const = default;
 };
 
-/** Answers WorkAsked; nothing does until it is known. */
+/** Answers WorkAsked; not sent until the work is known. */
 struct WorkTold
 {
     ServiceName service;
@@ -134,7 +147,10 @@
 
 using FromScheduler = std::variant<ClaimQueued, ClaimGranted, ClaimRefused, WorkTold>;
 
-/** What ToScheduler or FromScheduler @p message is about; none if it is not about a claim. */
+/**
+ * Returns the claim that a ToScheduler or FromScheduler @p message refers to, or none if it refers
+ * to no claim.
+ */
 template <typename Message>
 ClaimId claimOf(const Message &message)
 {
--- a/src/scheduling/servicepace.h
+++ b/src/scheduling/servicepace.h
@@ -6,12 +6,12 @@
 
 namespace indigoway::scheduling {
 
-/** What is learnt of a service's engines, and of what they are asked for. */
-struct ServicePace
+/** Estimators for the engines of one service and for its claims. */
+struct ServiceEstimators
 {
-    PrefillPace prefill;
-    GenerationPace decode;
-    GenerationsSeen generations;
+    PrefillEstimator prefill;
+    DecodeEstimator decode;
+    GenerationStatistics generations;
     std::optional<GenerationWork> work() const { return generations.work(prefill, decode); }
 };
 
--- a/tests/scheduling/burstreplaytest.cpp
+++ b/tests/scheduling/burstreplaytest.cpp
@@ -18,34 +18,34 @@
 constexpr int DecodeEngines = 70;
 constexpr std::uint64_t Memory = 38'000;
 constexpr auto Target = std::chrono::milliseconds(900);
-/** Of a decode engine's memory, from the prompt's end on; the streams' own length. */
+/** Time for which a run holds decode memory after its prefill. */
 constexpr auto DecodeTime = std::chrono::milliseconds(2'600);
-/** Requests a second that the decode engines' memory carries. */
+/** Requests per second for which the decode engines have memory. */
 constexpr double Capacity = 165;
 
-using At = std::chrono::microseconds; ///< Since the replay began.
+using Offset = std::chrono::microseconds; ///< Time since the start of the replay.
 
-struct Figures
+struct ReplayResults
 {
-    int asked = 0;
-    int inTime = 0;
+    int arrived = 0;
+    int onTime = 0;
     int late = 0;
-    int refusedAtOnce = 0; ///< Within an eighth of the target.
+    int refusedAtOnce = 0; ///< Refused within an eighth of the target.
     int refusedLate = 0;
-    int largeAsked = 0;
+    int largeArrived = 0;
     int largeServed = 0;
     std::vector<Duration> prefillTimes;
 
-    Duration prefillTime(double part)
+    Duration prefillTime(double quantile)
     {
         std::sort(prefillTimes.begin(), prefillTimes.end());
-        return prefillTimes[static_cast<std::size_t>(part * (prefillTimes.size() - 1.0))];
+        return prefillTimes[static_cast<std::size_t>(quantile * (prefillTimes.size() - 1.0))];
     }
 };
 
 /**
- * Engines that behave as the users' do, callers that come in a burst, and the scheduler between
- * them, in virtual time. Each prefill engine reads one prompt after the other.
+ * Simulates engines and a burst of callers around a scheduler in virtual time. Each prefill engine
+ * processes one prompt at a time.
  */
 class Replay
 {
@@ -71,10 +71,10 @@
         }
     }
 
-    Figures play(std::chrono::seconds lasts)
+    ReplayResults simulate(std::chrono::seconds duration)
     {
-        arriveNext(lasts);
-        plan(At(0), [this] { tick(); });
+        scheduleNextArrival(duration);
+        schedule(Offset(0), [this] { tick(); });
         while (!m_events.empty()) {
             const auto first = m_events.begin();
             m_now = first->first;
@@ -82,13 +82,13 @@
             m_events.erase(first);
             action();
         }
-        return std::move(m_figures);
+        return std::move(m_results);
     }
 
 private:
     struct Request
     {
-        At arrived {};
+        Offset arrived {};
         std::uint32_t prompt = 0;
     };
 
@@ -99,28 +99,31 @@
         return {NodeName("n" + std::to_string(claim % Nodes)), Incarnation(1)};
     }
 
-    void plan(At at, std::function<void()> action) { m_events.emplace(at, std::move(action)); }
+    void schedule(Offset at, std::function<void()> action)
+    {
+        m_events.emplace(at, std::move(action));
+    }
 
-    void arriveNext(std::chrono::seconds lasts)
+    void scheduleNextArrival(std::chrono::seconds duration)
     {
         std::exponential_distribution<double> gap(m_load * Capacity);
-        const At at = m_now + At(static_cast<std::int64_t>(gap(m_random) * 1e6));
-        if (at < lasts) {
-            plan(at, [this, lasts] {
-                arrive();
-                arriveNext(lasts);
+        const Offset at = m_now + Offset(static_cast<std::int64_t>(gap(m_random) * 1e6));
+        if (at < duration) {
+            schedule(at, [this, duration] {
+                startRequest();
+                scheduleNextArrival(duration);
             });
         }
     }
 
-    void arrive()
+    void startRequest()
     {
         std::lognormal_distribution<double> size(std::log(4'700), 0.45);
-        const std::uint64_t number = ++m_last;
+        const std::uint64_t number = ++m_lastNumber;
         const auto prompt = static_cast<std::uint32_t>(std::clamp(size(m_random), 500.0, 11e3));
         m_requests[number] = {m_now, prompt};
-        ++m_figures.asked;
-        m_figures.largeAsked += isLarge(prompt) ? 1 : 0;
+        ++m_results.arrived;
+        m_results.largeArrived += isLarge(prompt) ? 1 : 0;
         Claim claim;
         claim.claim = ClaimId(number);
         claim.service = ServiceName("llm");
@@ -130,58 +133,58 @@
         claim.waitsAtMost = std::chrono::milliseconds(800);
         claim.untilTarget = Target;
         claim.lasts = std::chrono::seconds(14);
-        tell(number, claim);
+        send(number, claim);
     }
 
     static bool isLarge(std::uint32_t prompt) { return prompt > 8'500; }
 
-    void tell(std::uint64_t number, const ToScheduler &message)
+    void send(std::uint64_t number, const ToScheduler &message)
     {
-        take(m_scheduler.handle(now(), view(), ownerOf(number), message));
+        handleReplies(m_scheduler.handle(now(), view(), ownerOf(number), message));
     }
 
     void tick()
     {
-        take(m_scheduler.tick(now(), view()));
+        handleReplies(m_scheduler.tick(now(), view()));
         if (m_events.size() > 0) {
-            plan(m_now + std::chrono::milliseconds(25), [this] { tick(); });
+            schedule(m_now + std::chrono::milliseconds(25), [this] { tick(); });
         }
     }
 
-    void take(const SchedulerReplies &replies)
+    void handleReplies(const SchedulerReplies &replies)
     {
         for (const SchedulerReply &reply : replies) {
             if (const auto *granted = std::get_if<ClaimGranted>(&reply.message)) {
                 prefill(granted->claim.value(), granted->prefillServer);
             } else if (const auto *refused = std::get_if<ClaimRefused>(&reply.message)) {
                 const Duration waited = m_now - m_requests[refused->claim.value()].arrived;
-                ++(waited <= Target / 8 ? m_figures.refusedAtOnce : m_figures.refusedLate);
+                ++(waited <= Target / 8 ? m_results.refusedAtOnce : m_results.refusedLate);
             }
         }
     }
 
     void prefill(std::uint64_t number, const ServerName &server)
     {
-        At &busyUntil = m_busyUntil[server];
-        // Every third engine is slower; none tells so.
-        const double slowness = server.text().back() % 3 == 0 ? 1.3 : 1;
-        const At work(
-            static_cast<std::int64_t>(slowness * (m_requests[number].prompt * 18 + 15'000)));
+        Offset &busyUntil = m_busyUntil[server];
+        // Every third engine is slower; the scheduler isn't told.
+        const double slowdown = server.text().back() % 3 == 0 ? 1.3 : 1;
+        const Offset work(
+            static_cast<std::int64_t>(slowdown * (m_requests[number].prompt * 18 + 15'000)));
         busyUntil = std::max(busyUntil, m_now) + work;
-        const At done = busyUntil + std::chrono::milliseconds(60);
-        m_figures.prefillTimes.push_back(done - m_now);
-        plan(done, [this, number] { decode(number); });
+        const Offset done = busyUntil + std::chrono::milliseconds(60);
+        m_results.prefillTimes.push_back(done - m_now);
+        schedule(done, [this, number] { decode(number); });
     }
 
     void decode(std::uint64_t number)
     {
         const Request &request = m_requests[number];
         const Duration first = m_now + std::chrono::milliseconds(25) - request.arrived;
-        ++(first <= Target ? m_figures.inTime : m_figures.late);
-        m_figures.largeServed += isLarge(request.prompt) ? 1 : 0;
-        tell(number, PrefillEnded {ClaimId(number), true});
-        plan(m_now + DecodeTime, [this, number] {
-            tell(number, ClaimEnded {ClaimId(number), ClaimEnd::Served});
+        ++(first <= Target ? m_results.onTime : m_results.late);
+        m_results.largeServed += isLarge(request.prompt) ? 1 : 0;
+        send(number, PrefillEnded {ClaimId(number), true});
+        schedule(m_now + DecodeTime, [this, number] {
+            send(number, ClaimEnded {ClaimId(number), ClaimEnd::Served});
         });
     }
 
@@ -190,12 +193,12 @@
     ServerDirectory m_servers;
     std::optional<RouteTable> m_routes;
     EngineScheduler m_scheduler;
-    std::multimap<At, std::function<void()>> m_events;
-    At m_now {};
+    std::multimap<Offset, std::function<void()>> m_events;
+    Offset m_now {};
     std::map<std::uint64_t, Request> m_requests;
-    std::map<ServerName, At> m_busyUntil;
-    std::uint64_t m_last = 0;
-    Figures m_figures;
+    std::map<ServerName, Offset> m_busyUntil;
+    std::uint64_t m_lastNumber = 0;
+    ReplayResults m_results;
 };
 
 } // namespace
@@ -203,33 +206,33 @@
 class BurstReplayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(BurstReplayTest);
-    CPPUNIT_TEST(atHalfLoadNothingWaits);
-    CPPUNIT_TEST(inABurstWhatIsServedIsInTime);
+    CPPUNIT_TEST(servesAllOnTimeAtHalfLoad);
+    CPPUNIT_TEST(servesOnTimeInBurst);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Sixty-five nodes at half of what the engines carry. Nodes that choose alone put prompts
-    // behind others now and then while engines are idle.
-    void atHalfLoadNothingWaits()
+    // Guards against prompts that queue while other engines are idle.
+    void servesAllOnTimeAtHalfLoad()
     {
-        Figures figures = Replay(0.5).play(std::chrono::seconds(20));
-        CPPUNIT_ASSERT_EQUAL(figures.asked, figures.inTime);
-        CPPUNIT_ASSERT(figures.prefillTime(0.5) < std::chrono::milliseconds(180));
-        CPPUNIT_ASSERT(figures.prefillTime(0.99) < std::chrono::milliseconds(400));
+        ReplayResults results = Replay(0.5).simulate(std::chrono::seconds(20));
+        CPPUNIT_ASSERT_EQUAL(results.arrived, results.onTime);
+        CPPUNIT_ASSERT(results.prefillTime(0.5) < std::chrono::milliseconds(180));
+        CPPUNIT_ASSERT(results.prefillTime(0.99) < std::chrono::milliseconds(400));
     }
 
-    // Twice what the engines carry, for ten seconds. The engines stay full of what is in time; the
-    // rest learns so at once, and large prompts are served not less than half as often.
-    void inABurstWhatIsServedIsInTime()
+    // Guards against late answers, late refusals, unused engines and starved large prompts at twice
+    // the capacity.
+    void servesOnTimeInBurst()
     {
-        Figures figures = Replay(2).play(std::chrono::seconds(10));
-        const int served = figures.inTime + figures.late;
+        ReplayResults results = Replay(2).simulate(std::chrono::seconds(10));
+        const int served = results.onTime + results.late;
         CPPUNIT_ASSERT(served > 0.8 * Capacity * 10);
-        CPPUNIT_ASSERT(figures.inTime > 0.93 * served);
-        CPPUNIT_ASSERT(figures.refusedAtOnce > 3 * figures.refusedLate);
-        const double all = static_cast<double>(served) / figures.asked;
-        const double large = static_cast<double>(figures.largeServed) / figures.largeAsked;
-        CPPUNIT_ASSERT(large > 0.5 * all);
+        CPPUNIT_ASSERT(results.onTime > 0.93 * served);
+        CPPUNIT_ASSERT(results.refusedAtOnce > 3 * results.refusedLate);
+        const double servedShare = static_cast<double>(served) / results.arrived;
+        const double servedLargeShare =
+            static_cast<double>(results.largeServed) / results.largeArrived;
+        CPPUNIT_ASSERT(servedLargeShare > 0.5 * servedShare);
     }
 };
 
