--- a/tests/scheduling/engineschedulertest.cpp
+++ b/tests/scheduling/engineschedulertest.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-const NodeLife A = SchedulingPlay::node("a");
-const NodeLife B = SchedulingPlay::node("b");
+const NodeLife NodeA = SchedulerHarness::node("a");
+const NodeLife NodeB = SchedulerHarness::node("b");
 
 std::string text(const char *words)
 {
@@ -24,323 +24,317 @@
 class EngineSchedulerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EngineSchedulerTest);
-    CPPUNIT_TEST(givesRoomOutOnceToAllNodes);
-    CPPUNIT_TEST(sendsAPromptWhereItIsReadNext);
-    CPPUNIT_TEST(sendsNoPromptThatWouldWaitLong);
-    CPPUNIT_TEST(refusesAtOnceWhatCannotBeInTime);
-    CPPUNIT_TEST(servesAPromptThatIsLateByItsLength);
-    CPPUNIT_TEST(streamsThatGoOnComeFirstAndThoseComingBackLast);
-    CPPUNIT_TEST(theMoreUrgentGoFirstAmongThoseInTime);
-    CPPUNIT_TEST(keepsRoomForALargeClaim);
-    CPPUNIT_TEST(answersARepeatedClaimTheSame);
-    CPPUNIT_TEST(theDecodeEngineReadsWithoutPrefillEngines);
-    CPPUNIT_TEST(decodeEnginesReadWhatPrefillEnginesCannotInTime);
-    CPPUNIT_TEST(decodeEnginesReadNothingWhileTheirRoomIsWanted);
-    CPPUNIT_TEST(freesWhatADeadNodeHeld);
-    CPPUNIT_TEST(freesWhatAnEarlierLifeHeld);
-    CPPUNIT_TEST(forgetsEnginesThatAreGone);
-    CPPUNIT_TEST(countsWhatNodesHoldAlready);
-    CPPUNIT_TEST(seesRunsBeginThatAnotherSchedulerGranted);
+    CPPUNIT_TEST(grantsMemoryOnceAcrossNodes);
+    CPPUNIT_TEST(choosesShortestPrefillQueue);
+    CPPUNIT_TEST(holdsBackPromptThatWouldQueue);
+    CPPUNIT_TEST(refusesClaimThatWouldMissTarget);
+    CPPUNIT_TEST(servesPromptTooLongForTarget);
+    CPPUNIT_TEST(ordersByUrgency);
+    CPPUNIT_TEST(ordersByPriorityWithinUrgency);
+    CPPUNIT_TEST(reservesEngineForLargeClaim);
+    CPPUNIT_TEST(repeatsGrantForResentClaim);
+    CPPUNIT_TEST(decodeEnginePrefillsWithoutPrefillEngines);
+    CPPUNIT_TEST(prefillsLocallyIfPrefillEnginesAreLate);
+    CPPUNIT_TEST(noLocalPrefillIfMemoryIsShort);
+    CPPUNIT_TEST(freesGrantsOfDeadNode);
+    CPPUNIT_TEST(freesGrantsOfEarlierIncarnation);
+    CPPUNIT_TEST(removesIdleEngines);
+    CPPUNIT_TEST(countsRoomHeldBeforeTakeover);
+    CPPUNIT_TEST(tracksDecodeStartAfterTakeover);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Two nodes want the last room of the only engine at the same moment. Nodes that choose alone
-    // would both ask the engine, and one would have made the way for nothing.
-    void givesRoomOutOnceToAllNodes()
+    // Guards against granting the same memory to two nodes.
+    void grantsMemoryOnceAcrossNodes()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p", EnginePhase::Prefill);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 30'000));
-        play.tell(0, B, SchedulingPlay::patient(SchedulingPlay::claimOf(1, 30'000)));
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(A, 1));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(B, 1));
-        play.tell(300, A, PrefillEnded {ClaimId(1), true});
-        play.tell(400, A, ClaimEnded {ClaimId(1), ClaimEnd::Served});
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(B, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p", EnginePhase::Prefill);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 30'000));
+        harness.send(0, NodeB,
+                     SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 30'000)));
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
+        harness.send(300, NodeA, PrefillEnded {ClaimId(1), true});
+        harness.send(400, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeB, 1));
     }
 
-    void sendsAPromptWhereItIsReadNext()
+    void choosesShortestPrefillQueue()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p1", EnginePhase::Prefill);
-        play.addEngine("p2", EnginePhase::Prefill);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 9'000));
-        play.tell(1, B, SchedulingPlay::claimOf(1, 2'000));
-        play.tell(2, A, SchedulingPlay::claimOf(2, 2'000));
-        CPPUNIT_ASSERT_EQUAL(text("d/p1"), play.answer(A, 1));
-        CPPUNIT_ASSERT_EQUAL(text("d/p2"), play.answer(B, 1));
-        // The second engine has the shorter line, though both have one prompt.
-        CPPUNIT_ASSERT_EQUAL(text("d/p2"), play.answer(A, 2));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p1", EnginePhase::Prefill);
+        harness.addEngine("p2", EnginePhase::Prefill);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 9'000));
+        harness.send(1, NodeB, SchedulerHarness::claimOf(1, 2'000));
+        harness.send(2, NodeA, SchedulerHarness::claimOf(2, 2'000));
+        CPPUNIT_ASSERT_EQUAL(text("d/p1"), harness.answer(NodeA, 1));
+        CPPUNIT_ASSERT_EQUAL(text("d/p2"), harness.answer(NodeB, 1));
+        // Both engines have one prompt, but the second one has the shorter queueing delay.
+        CPPUNIT_ASSERT_EQUAL(text("d/p2"), harness.answer(NodeA, 2));
     }
 
-    // Prompts come faster than they are read. One that is sent anyway lies in the engine's line
-    // while its decode memory is kept for it, and for nobody else.
-    void sendsNoPromptThatWouldWaitLong()
+    // Guards against reserving decode memory for prompts that queue at a prefill engine.
+    void holdsBackPromptThatWouldQueue()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p", EnginePhase::Prefill);
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p", EnginePhase::Prefill);
         for (std::uint64_t i = 1; i <= 4; ++i) {
-            play.tell(0, A, SchedulingPlay::claimOf(i, 9'000));
+            harness.send(0, NodeA, SchedulerHarness::claimOf(i, 9'000));
         }
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(A, 1));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 2));
-        play.tick(150);
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(A, 2));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 3));
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 2));
+        harness.tick(150);
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 2));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 3));
     }
 
-    // A burst of twice what the engines can hold. A caller who is told now can come back in time;
-    // one who waits for a refusal has lost that time as well.
-    void refusesAtOnceWhatCannotBeInTime()
+    // Guards against late refusals in a burst of twice the capacity.
+    void refusesClaimThatWouldMissTarget()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p1", EnginePhase::Prefill);
-        play.addEngine("p2", EnginePhase::Prefill);
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p1", EnginePhase::Prefill);
+        harness.addEngine("p2", EnginePhase::Prefill);
         int refusedAtOnce = 0;
         for (std::uint64_t i = 1; i <= 40; ++i) {
-            play.tell(0, A, SchedulingPlay::claimOf(i));
-            refusedAtOnce += play.answer(A, i) == "refused" ? 1 : 0;
+            harness.send(0, NodeA, SchedulerHarness::claimOf(i));
+            refusedAtOnce += harness.answer(NodeA, i) == "refused" ? 1 : 0;
         }
         CPPUNIT_ASSERT(refusedAtOnce > 10);
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 11));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 11));
     }
 
-    // The prompt alone takes longer than the target, on idle engines too. Refusing it because it
-    // will be late would refuse all such prompts for ever.
-    void servesAPromptThatIsLateByItsLength()
+    // Guards against refusing a prompt forever because it can't meet its target even on idle
+    // engines.
+    void servesPromptTooLongForTarget()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p", EnginePhase::Prefill);
-        Claim claim = SchedulingPlay::claimOf(1, 48'000);
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p", EnginePhase::Prefill);
+        Claim claim = SchedulerHarness::claimOf(1, 48'000);
         claim.promptTokens = 47'000;
         claim.untilTarget = std::chrono::milliseconds(500);
-        play.tell(0, A, claim);
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(A, 1));
+        harness.send(0, NodeA, claim);
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
     }
 
-    // The engine is full while three claims wait. Room comes free for one at a time: the stream
-    // that its caller is in the middle of, then the one that can be in time, then the one that is
-    // late already.
-    void streamsThatGoOnComeFirstAndThoseComingBackLast()
+    // Guards against serving new and late claims before interrupted streams.
+    void ordersByUrgency()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p", EnginePhase::Prefill);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 45'000));
-        const Claim any = SchedulingPlay::patient(SchedulingPlay::claimOf(1, 20'000));
-        play.tell(1, B, withUrgency(any, Urgency::ComingBack));
-        play.tell(2, B, SchedulingPlay::patient(SchedulingPlay::claimOf(2, 40'000)));
-        Claim goesOn = withUrgency(SchedulingPlay::patient(SchedulingPlay::claimOf(3, 40'000)),
-                                   Urgency::GoesOn);
-        goesOn.promptTokens = 0;
-        play.tell(3, B, goesOn);
-        play.tell(50, A, PrefillEnded {ClaimId(1), true});
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(B, 3));
-        play.tell(60, A, ClaimEnded {ClaimId(1), ClaimEnd::Served});
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 3));
-        play.tell(100, B, ClaimEnded {ClaimId(3), ClaimEnd::Served});
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(B, 2));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(B, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p", EnginePhase::Prefill);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 45'000));
+        const Claim any = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 20'000));
+        harness.send(1, NodeB, withUrgency(any, Urgency::ComingBack));
+        harness.send(2, NodeB,
+                     SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2, 40'000)));
+        Claim resumed = withUrgency(
+            SchedulerHarness::withLongWait(SchedulerHarness::claimOf(3, 40'000)), Urgency::GoesOn);
+        resumed.promptTokens = 0;
+        harness.send(3, NodeB, resumed);
+        harness.send(50, NodeA, PrefillEnded {ClaimId(1), true});
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 3));
+        harness.send(60, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 3));
+        harness.send(100, NodeB, ClaimEnded {ClaimId(3), ClaimEnd::Served});
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeB, 2));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
     }
 
-    // Small requests come all the time, and take each piece of room that comes free. A large one
-    // would wait for ever.
-    // One engine is full, two organisations wait for it. The one that operators declared to be
-    // more urgent is served first, though it came later.
-    void theMoreUrgentGoFirstAmongThoseInTime()
+    // Guards against serving claims of equal urgency in order of arrival instead of priority.
+    void ordersByPriorityWithinUrgency()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 40'000));
-        Claim ordinary = SchedulingPlay::patient(SchedulingPlay::claimOf(2, 30'000));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 40'000));
+        Claim ordinary = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2, 30'000));
         ordinary.priority = 2;
-        Claim urgent = SchedulingPlay::patient(SchedulingPlay::claimOf(3, 30'000));
+        Claim urgent = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(3, 30'000));
         urgent.priority = 1;
-        play.tell(10, A, ordinary);
-        play.tell(20, B, urgent);
-        play.tell(30, A, ClaimEnded {ClaimId(1)});
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 3));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 2));
+        harness.send(10, NodeA, ordinary);
+        harness.send(20, NodeB, urgent);
+        harness.send(30, NodeA, ClaimEnded {ClaimId(1)});
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 3));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 2));
     }
 
-    void keepsRoomForALargeClaim()
+    // Guards against small claims that take all memory that comes free while a large one waits.
+    void reservesEngineForLargeClaim()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
         for (std::uint64_t i = 1; i <= 10; ++i) {
-            play.tell(0, A, SchedulingPlay::claimOf(i));
+            harness.send(0, NodeA, SchedulerHarness::claimOf(i));
         }
-        Claim large = SchedulingPlay::claimOf(1, 11'000);
+        Claim large = SchedulerHarness::claimOf(1, 11'000);
         large.waitsAtMost = std::chrono::seconds(5);
         large.untilTarget = std::chrono::milliseconds(1'150);
-        play.tell(1, B, large);
+        harness.send(1, NodeB, large);
         int time = 200;
         for (std::uint64_t i = 1; i <= 3; ++i, time += 10) {
-            play.tell(time, A, ClaimEnded {ClaimId(i), ClaimEnd::Served});
-            play.tell(time + 1, A, SchedulingPlay::claimOf(100 + i));
+            harness.send(time, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served});
+            harness.send(time + 1, NodeA, SchedulerHarness::claimOf(100 + i));
         }
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 1));
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 1));
     }
 
-    // The grant's datagram is lost, and the node asks again.
-    void answersARepeatedClaimTheSame()
+    // Guards against a lost datagram that contained a grant.
+    void repeatsGrantForResentClaim()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.addEngine("p", EnginePhase::Prefill);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 30'000));
-        play.forgetAnswers();
-        play.tell(60, A, SchedulingPlay::claimOf(1, 30'000));
-        CPPUNIT_ASSERT_EQUAL(text("d/p"), play.answer(A, 1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, play.scheduler().granted());
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.addEngine("p", EnginePhase::Prefill);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 30'000));
+        harness.clearAnswers();
+        harness.send(60, NodeA, SchedulerHarness::claimOf(1, 30'000));
+        CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, harness.scheduler().granted());
     }
 
-    void theDecodeEngineReadsWithoutPrefillEngines()
+    void decodeEnginePrefillsWithoutPrefillEngines()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A, SchedulingPlay::claimOf(1));
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(A, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1));
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeA, 1));
     }
 
-    // A node dies and tells nothing. What it held comes free when its requests have ended at the
-    // latest, or the engine would look full for ever.
-    // Prompts come twice as fast as the only prefill engine reads them, and decode engines lie
-    // idle. Callers whose prompts would be read too late were refused, with all that memory free.
-    void decodeEnginesReadWhatPrefillEnginesCannotInTime()
+    // Guards against refusals for lack of prefill capacity while decode engines are idle.
+    void prefillsLocallyIfPrefillEnginesAreLate()
     {
-        SchedulingPlay play;
-        play.addEngine("p", EnginePhase::Prefill);
+        SchedulerHarness harness;
+        harness.addEngine("p", EnginePhase::Prefill);
         for (const char *engine : {"d1", "d2", "d3", "d4"}) {
-            play.addEngine(engine, EnginePhase::Decode);
+            harness.addEngine(engine, EnginePhase::Decode);
         }
         for (std::uint64_t i = 1; i <= 6; ++i) {
-            play.tell(0, A, SchedulingPlay::claimOf(i, 9'000));
+            harness.send(0, NodeA, SchedulerHarness::claimOf(i, 9'000));
         }
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 6));
-        play.tick(100);
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(A, 6)); // It may still be read in time.
-        int whole = 0;
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 6));
+        harness.tick(100);
+        // The prompt can still meet its target.
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 6));
+        int localPrefills = 0;
         for (int time = 110; time <= 700; time += 10) {
-            play.tick(time);
+            harness.tick(time);
         }
         for (std::uint64_t i = 1; i <= 6; ++i) {
-            whole += play.answer(A, i).ends_with("/whole") ? 1 : 0;
-            CPPUNIT_ASSERT(play.answer(A, i) != "refused");
+            localPrefills += harness.answer(NodeA, i).ends_with("/whole") ? 1 : 0;
+            CPPUNIT_ASSERT(harness.answer(NodeA, i) != "refused");
         }
-        CPPUNIT_ASSERT(whole >= 1
-                       && whole <= 4); // One of an engine; then its runs have their time.
+        // At most one per engine, since local prefills are rate-limited.
+        CPPUNIT_ASSERT(localPrefills >= 1 && localPrefills <= 4);
     }
 
-    // Memory is as short as prompts' time. An engine that reads slows its runs down, which then
-    // hold memory for longer: those who wait for memory would wait more.
-    void decodeEnginesReadNothingWhileTheirRoomIsWanted()
+    // Guards against local prefills, which prolong runs, while claims wait for decode memory.
+    void noLocalPrefillIfMemoryIsShort()
     {
         for (const std::uint64_t waiting : {1, 2}) {
-            SchedulingPlay play;
-            play.addEngine("d", EnginePhase::Decode);
-            play.tell(0, A, SchedulingPlay::claimOf(1, 40'000));
-            play.addEngine("p", EnginePhase::Prefill);
-            Claim longPrompt = SchedulingPlay::patient(SchedulingPlay::claimOf(2, 5'000));
+            SchedulerHarness harness;
+            harness.addEngine("d", EnginePhase::Decode);
+            harness.send(0, NodeA, SchedulerHarness::claimOf(1, 40'000));
+            harness.addEngine("p", EnginePhase::Prefill);
+            Claim longPrompt = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2, 5'000));
             longPrompt.promptTokens = 90'000;
-            play.tell(10, A, longPrompt);
+            harness.send(10, NodeA, longPrompt);
             for (std::uint64_t i = 1; i <= waiting; ++i) {
-                Claim late = SchedulingPlay::patient(SchedulingPlay::claimOf(2 + i, 25'000));
+                Claim late =
+                    SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2 + i, 25'000));
                 late.untilTarget = Duration(0);
-                play.tell(20, A, late);
+                harness.send(20, NodeA, late);
             }
-            // Now there is room for one of them.
-            play.tell(50, A, ClaimEnded {ClaimId(1)});
-            CPPUNIT_ASSERT_EQUAL(text(waiting == 1 ? "d/whole" : "queued"), play.answer(A, 3));
+            // Memory comes free for one of the claims.
+            harness.send(50, NodeA, ClaimEnded {ClaimId(1)});
+            CPPUNIT_ASSERT_EQUAL(text(waiting == 1 ? "d/whole" : "queued"),
+                                 harness.answer(NodeA, 3));
         }
     }
 
-    void freesWhatADeadNodeHeld()
+    // Guards against memory that stays reserved for a dead node.
+    void freesGrantsOfDeadNode()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 45'000));
-        play.tick(15'000);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, play.scheduler().granted());
-        play.tell(15'001, B, SchedulingPlay::claimOf(1, 45'000));
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 45'000));
+        harness.tick(15'000);
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, harness.scheduler().granted());
+        harness.send(15'001, NodeB, SchedulerHarness::claimOf(1, 45'000));
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 1));
     }
 
-    void freesWhatAnEarlierLifeHeld()
+    void freesGrantsOfEarlierIncarnation()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A, SchedulingPlay::claimOf(1, 45'000));
-        const NodeLife reborn = SchedulingPlay::node("a", 2);
-        play.tell(1'000, reborn, SchedulingPlay::claimOf(1, 45'000));
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(reborn, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1, 45'000));
+        const NodeLife restarted = SchedulerHarness::node("a", 2);
+        harness.send(1'000, restarted, SchedulerHarness::claimOf(1, 45'000));
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(restarted, 1));
     }
 
-    // Each start of an engine has a new name. Fleets replace engines all day, and a scheduler that
-    // kept all their names would grow until it is killed for it.
-    void forgetsEnginesThatAreGone()
+    // Guards against unbounded growth, since each start of an engine has a new name.
+    void removesIdleEngines()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A, SchedulingPlay::claimOf(1));
-        play.tell(100, A, ClaimEnded {ClaimId(1), ClaimEnd::Served});
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, play.scheduler().engines());
-        play.tick(90'000);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, play.scheduler().engines());
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA, SchedulerHarness::claimOf(1));
+        harness.send(100, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, harness.scheduler().engines());
+        harness.tick(90'000);
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, harness.scheduler().engines());
     }
 
-    // The node that scheduled has died, and this one takes over. It knows nothing; the nodes tell
-    // it what their requests hold, or it would give the same room out again.
-    void countsWhatNodesHoldAlready()
+    // Guards against granting memory again that was granted by the previous scheduler.
+    void countsRoomHeldBeforeTakeover()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        play.tell(0, A,
-                  RoomHeld {ClaimId(7),
-                            ServiceName("llm"),
-                            {45'000, 0, 0},
-                            ServerName("d"),
-                            std::chrono::seconds(10),
-                            std::nullopt});
-        play.tell(1, B, SchedulingPlay::patient(SchedulingPlay::claimOf(1, 20'000)));
-        CPPUNIT_ASSERT_EQUAL(text("queued"), play.answer(B, 1));
-        play.tell(50, A, ClaimEnded {ClaimId(7), ClaimEnd::Served});
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 1));
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        harness.send(0, NodeA,
+                     RoomHeld {ClaimId(7),
+                               ServiceName("llm"),
+                               {45'000, 0, 0},
+                               ServerName("d"),
+                               std::chrono::seconds(10),
+                               std::nullopt});
+        harness.send(1, NodeB,
+                     SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 20'000)));
+        CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
+        harness.send(50, NodeA, ClaimEnded {ClaimId(7), ClaimEnd::Served});
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 1));
     }
 
-    // A prompt was under way when the scheduler died. The new one learns of the run before it
-    // begins; unless it sees its first token, the run counts whole and as never ending.
-    void seesRunsBeginThatAnotherSchedulerGranted()
+    // Guards against counting the full output of a run whose prompt was sent under the previous
+    // scheduler.
+    void tracksDecodeStartAfterTakeover()
     {
-        SchedulingPlay play;
-        play.addEngine("d", EnginePhase::Decode);
-        // The pace: 100 tokens a second.
+        SchedulerHarness harness;
+        harness.addEngine("d", EnginePhase::Decode);
+        // 100 tokens per second.
         for (std::uint64_t i = 1; i <= 20; ++i) {
-            Claim claim = SchedulingPlay::claimOf(i, 1'000);
+            Claim claim = SchedulerHarness::claimOf(i, 1'000);
             claim.memory = {1'000, 100, 100};
             const int time = static_cast<int>(i) * 1'100;
-            play.tell(time, A, claim);
-            play.tell(time + 1'000, A, ClaimEnded {ClaimId(i), ClaimEnd::Served, 100});
+            harness.send(time, NodeA, claim);
+            harness.send(time + 1'000, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served, 100});
         }
         constexpr int Start = 30'000;
-        play.tell(Start, A,
-                  RoomHeld {ClaimId(100),
-                            ServiceName("llm"),
-                            {10'000, 30'000, 30'000},
-                            ServerName("d"),
-                            std::chrono::seconds(400),
-                            std::nullopt});
-        play.tell(Start + 100, A, PrefillEnded {ClaimId(100), true});
-        // After 290 s the run is nearly done: what it holds comes free before the new one grows.
-        Claim claim = SchedulingPlay::patient(SchedulingPlay::claimOf(101, 2'000));
+        harness.send(Start, NodeA,
+                     RoomHeld {ClaimId(100),
+                               ServiceName("llm"),
+                               {10'000, 30'000, 30'000},
+                               ServerName("d"),
+                               std::chrono::seconds(400),
+                               std::nullopt});
+        harness.send(Start + 100, NodeA, PrefillEnded {ClaimId(100), true});
+        // After 290 s the run is nearly finished and frees its memory before the new one grows.
+        Claim claim = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(101, 2'000));
         claim.memory = {2'000, 20'000, 20'000};
-        play.tell(Start + 290'100, B, claim);
-        CPPUNIT_ASSERT_EQUAL(text("d/"), play.answer(B, 101));
+        harness.send(Start + 290'100, NodeB, claim);
+        CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 101));
     }
 };
 
--- a/tests/scheduling/handoverlossestest.cpp
+++ b/tests/scheduling/handoverlossestest.cpp
@@ -24,15 +24,15 @@
 class HandoverLossesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(HandoverLossesTest);
-    CPPUNIT_TEST(oneLossAccusesNeither);
-    CPPUNIT_TEST(anEngineThatTakesNothingIsTheOnlyOneAccused);
-    CPPUNIT_TEST(anEngineWhoseCachesAreAllLostIsTheOnlyOneAccused);
-    CPPUNIT_TEST(severalAtFaultAtOnceAccuseFewOthers);
-    CPPUNIT_TEST(isForgottenAfterAWhile);
+    CPPUNIT_TEST(singleFailureBlamesNeither);
+    CPPUNIT_TEST(blamesOnlyFaultyTarget);
+    CPPUNIT_TEST(blamesOnlyFaultySource);
+    CPPUNIT_TEST(severalFaultyTargetsBlameFewSources);
+    CPPUNIT_TEST(exclusionExpires);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void oneLossAccusesNeither()
+    void singleFailureBlamesNeither()
     {
         HandoverLosses losses;
         losses.lost(ServerName("p"), ServerName("d"), at(0));
@@ -41,10 +41,8 @@
         CPPUNIT_ASSERT(!losses.isBadTarget(ServerName("d"), at(20)));
     }
 
-    // A decode engine has begun to change its phase. Each of fifteen prefill engines sends one
-    // prompt there; fifteen callers wait for a second reading. If that put out the engines that
-    // had read the prompts, no prompt at all could be read for seconds.
-    void anEngineThatTakesNothingIsTheOnlyOneAccused()
+    // Guards against excluding prefill engines for the fault of one decode engine.
+    void blamesOnlyFaultyTarget()
     {
         HandoverLosses losses;
         for (int i = 0; i < 15; ++i) {
@@ -56,9 +54,8 @@
         }
     }
 
-    // A prefill engine frees its results as soon as they are made. Its answers look well; each
-    // decode engine that it is paired with is sound.
-    void anEngineWhoseCachesAreAllLostIsTheOnlyOneAccused()
+    // Guards against excluding decode engines for the fault of one prefill engine.
+    void blamesOnlyFaultySource()
     {
         HandoverLosses losses;
         for (int i = 0; i < 15; ++i) {
@@ -70,9 +67,8 @@
         }
     }
 
-    // Four decode engines change their phase at once while fifteen prefill engines serve forty.
-    // What they lose with the four must not take a part of the prefill engines along.
-    void severalAtFaultAtOnceAccuseFewOthers()
+    // Guards against excluding prefill engines if several decode engines are faulty at once.
+    void severalFaultyTargetsBlameFewSources()
     {
         HandoverLosses losses;
         int time = 0;
@@ -89,7 +85,7 @@
         CPPUNIT_ASSERT(sources <= 1);
     }
 
-    void isForgottenAfterAWhile()
+    void exclusionExpires()
     {
         HandoverLosses losses;
         losses.lost(ServerName("p1"), ServerName("d"), at(0));
--- a/tests/scheduling/memoryreplaytest.cpp
+++ b/tests/scheduling/memoryreplaytest.cpp
@@ -12,28 +12,29 @@
 
 namespace {
 
-using At = std::chrono::microseconds; ///< Since the replay began.
+using Offset = std::chrono::microseconds; ///< Time since the start of the replay.
 
-/** One kind of engine. */
+/** Speed, memory and typical runs of an engine. */
 struct EngineKind
 {
     double secondsPerToken = 0;
     std::uint64_t memory = 0;
-    double promptTokens = 0; ///< Median, as the next.
+    double promptTokens = 0; ///< Median, as for the output.
     double outputTokens = 0;
     std::uint64_t tokensPerEvent = 1;
 };
 
-/** Of the engine's memory, over the replay's second half. */
-struct MemoryUse
+/** Memory use over the second half of a replay, relative to the engine's memory. */
+struct MemoryUsage
 {
     double mean = 0;
-    double overflowing = 0; ///< Part of the time in which the runs wanted more than there is.
+    /** Share of the time in which the runs needed more than the engine's memory. */
+    double overcommitted = 0;
 };
 
 /**
- * One decode engine, more requests than it can hold, and the scheduler that lets them in. Outputs
- * differ from what callers guess as the users' do: by half, either way.
+ * Simulates one decode engine that gets more requests than it has memory for. Output lengths differ
+ * from the callers' estimates by about half.
  */
 class MemoryReplay
 {
@@ -56,15 +57,15 @@
         m_servers.announce(std::move(server));
     }
 
-    /** Lasts as many times as long as a run of median length. */
-    MemoryUse play(int runLengths)
+    /** Simulates as many times the duration of a median run. */
+    MemoryUsage simulate(int runLengths)
     {
         const auto runTime = seconds(m_kind.outputTokens * m_kind.secondsPerToken);
         m_end = runTime * runLengths;
         const double held = m_kind.promptTokens + m_kind.outputTokens / 2;
-        const double carried = static_cast<double>(m_kind.memory) / held;
-        m_gap = runTime / static_cast<std::int64_t>(2 * carried);
-        arrive();
+        const double concurrentRuns = static_cast<double>(m_kind.memory) / held;
+        m_gap = runTime / static_cast<std::int64_t>(2 * concurrentRuns);
+        startRequest();
         sample(runTime / 50);
         while (!m_events.empty()) {
             const auto first = m_events.begin();
@@ -73,7 +74,7 @@
             m_events.erase(first);
             action();
         }
-        return {m_sum / m_samples, m_overflows / m_samples};
+        return {m_usageSum / m_samples, m_overcommittedSamples / m_samples};
     }
 
 private:
@@ -81,83 +82,83 @@
     {
         double prompt = 0;
         double output = 0;
-        At began {};
+        Offset start {};
     };
 
-    static At seconds(double count) { return At(static_cast<std::int64_t>(count * 1e6)); }
+    static Offset seconds(double count) { return Offset(static_cast<std::int64_t>(count * 1e6)); }
     TimePoint now() const { return TimePoint {} + std::chrono::hours(1) + m_now; }
-    void plan(At after, std::function<void()> action)
+    void schedule(Offset after, std::function<void()> action)
     {
         m_events.emplace(m_now + after, std::move(action));
     }
 
-    double around(double median, double sigma)
+    double lognormal(double median, double sigma)
     {
         return std::lognormal_distribution<double>(std::log(median), sigma)(m_random);
     }
 
-    void arrive()
+    void startRequest()
     {
-        const std::uint64_t number = ++m_last;
-        const double output = around(m_kind.outputTokens, 0.5);
-        m_waiting[number] = {around(m_kind.promptTokens, 0.4), output, {}};
+        const std::uint64_t number = ++m_lastNumber;
+        const double output = lognormal(m_kind.outputTokens, 0.5);
+        m_waiting[number] = {lognormal(m_kind.promptTokens, 0.4), output, {}};
         Claim claim;
         claim.claim = ClaimId(number);
         claim.service = ServiceName("llm");
         claim.memory = {static_cast<std::uint64_t>(m_waiting[number].prompt),
-                        static_cast<std::uint64_t>(output * around(1, 0.4)), 0};
+                        static_cast<std::uint64_t>(output * lognormal(1, 0.4)), 0};
         claim.waitsAtMost = m_gap * 10;
         claim.untilTarget = std::chrono::hours(1);
         claim.lasts = std::chrono::hours(100);
-        tell(claim);
+        send(claim);
         if (m_now < m_end) {
-            plan(m_gap, [this] { arrive(); });
+            schedule(m_gap, [this] { startRequest(); });
         }
     }
 
-    void tell(const ToScheduler &message)
+    void send(const ToScheduler &message)
     {
         const EngineScheduler::View view {m_servers, *m_routes};
-        take(m_scheduler.handle(now(), view, {NodeName("n"), Incarnation(1)}, message));
-        take(m_scheduler.tick(now(), view));
+        handleReplies(m_scheduler.handle(now(), view, {NodeName("n"), Incarnation(1)}, message));
+        handleReplies(m_scheduler.tick(now(), view));
     }
 
-    void take(const SchedulerReplies &replies)
+    void handleReplies(const SchedulerReplies &replies)
     {
         for (const SchedulerReply &reply : replies) {
             if (const auto *granted = std::get_if<ClaimGranted>(&reply.message)) {
-                begin(granted->claim.value());
+                startRun(granted->claim.value());
             }
         }
     }
 
-    void begin(std::uint64_t number)
+    void startRun(std::uint64_t number)
     {
         Run run = m_waiting[number];
-        run.began = m_now;
+        run.start = m_now;
         m_running[number] = run;
-        plan(At(0), [this, number] { tell(PrefillEnded {ClaimId(number), true}); });
-        plan(seconds(run.output * m_kind.secondsPerToken), [this, number, run] {
+        schedule(Offset(0), [this, number] { send(PrefillEnded {ClaimId(number), true}); });
+        schedule(seconds(run.output * m_kind.secondsPerToken), [this, number, run] {
             m_running.erase(number);
-            tell(ClaimEnded {ClaimId(number), ClaimEnd::Served,
+            send(ClaimEnded {ClaimId(number), ClaimEnd::Served,
                              static_cast<std::uint64_t>(run.output)});
         });
     }
 
-    void sample(At every)
+    void sample(Offset every)
     {
         double held = 0;
         for (const auto &[number, run] : m_running) {
-            const double since = std::chrono::duration<double>(m_now - run.began).count();
+            const double since = std::chrono::duration<double>(m_now - run.start).count();
             held += run.prompt + std::min(since / m_kind.secondsPerToken, run.output);
         }
         if (m_now > m_end / 2 && m_now < m_end) {
             ++m_samples;
-            m_sum += held / static_cast<double>(m_kind.memory);
-            m_overflows += held > static_cast<double>(m_kind.memory) ? 1 : 0;
+            m_usageSum += held / static_cast<double>(m_kind.memory);
+            m_overcommittedSamples += held > static_cast<double>(m_kind.memory) ? 1 : 0;
         }
         if (m_now < m_end) {
-            plan(every, [this, every] { sample(every); });
+            schedule(every, [this, every] { sample(every); });
         }
     }
 
@@ -166,16 +167,16 @@
     ServerDirectory m_servers;
     std::optional<RouteTable> m_routes;
     EngineScheduler m_scheduler;
-    std::multimap<At, std::function<void()>> m_events;
+    std::multimap<Offset, std::function<void()>> m_events;
     std::map<std::uint64_t, Run> m_waiting;
     std::map<std::uint64_t, Run> m_running;
-    std::uint64_t m_last = 0;
-    At m_now {};
-    At m_end {};
-    At m_gap {};
+    std::uint64_t m_lastNumber = 0;
+    Offset m_now {};
+    Offset m_end {};
+    Offset m_gap {};
     double m_samples = 0;
-    double m_sum = 0;
-    double m_overflows = 0;
+    double m_usageSum = 0;
+    double m_overcommittedSamples = 0;
 };
 
 } // namespace
@@ -183,84 +184,78 @@
 class MemoryReplayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MemoryReplayTest);
-    CPPUNIT_TEST(longOutputsShareTheMemoryOverTime);
-    CPPUNIT_TEST(enginesThatDifferTenfoldAreLearnt);
-    CPPUNIT_TEST(atFirstEachRunCountsWhole);
-    CPPUNIT_TEST(runsThatDoNotEndStopGrowing);
-    CPPUNIT_TEST(aNewSchedulerKnowsHowFarRunsAre);
+    CPPUNIT_TEST(usesMemoryWithLongOutputs);
+    CPPUNIT_TEST(adaptsToEngineSpeed);
+    CPPUNIT_TEST(countsFullOutputWithoutSamples);
+    CPPUNIT_TEST(boundsRunsThatDoNotEnd);
+    CPPUNIT_TEST(countsElapsedDecodeTime);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Callers come at twice what an engine holds, with answers about as long as their prompts. Run
-    // by run, the memory is taken only at the end: where each counts whole from its start, a third
-    // of the engine lies idle while callers are turned away.
-    void longOutputsShareTheMemoryOverTime() { check({0.00093, 90'000, 4'700, 3'800, 59}); }
+    // Guards against unused memory at twice the capacity if outputs are as long as prompts.
+    void usesMemoryWithLongOutputs() { check({0.00093, 90'000, 4'700, 3'800, 59}); }
 
-    void enginesThatDifferTenfoldAreLearnt()
+    void adaptsToEngineSpeed()
     {
         check({0.006, 51'000, 4'700, 570, 8});
         check({0.0001, 900'000, 30'000, 20'000, 59});
         check({0.01, 40'000, 600, 2'000, 1});
     }
 
-    // Nothing is known of the engine yet. An estimate from another one might let in what it
-    // cannot hold.
-    void atFirstEachRunCountsWhole()
+    // Guards against assuming the speed of another engine before there are samples.
+    void countsFullOutputWithoutSamples()
     {
         MemoryForecast forecast;
-        const GenerationPace unknown;
+        const DecodeEstimator unknown;
         forecast.add(RunNumber(1), {5'000, 4'000, 0});
-        const MemoryOutlook outlook = forecast.outlook(unknown, TimePoint {});
-        CPPUNIT_ASSERT(outlook.peak() >= 9'000);
-        CPPUNIT_ASSERT(MemoryForecast::peakWith(outlook, {5'000, 4'000, 0}, unknown) >= 18'000);
+        const MemoryProjection projection = forecast.projection(unknown, TimePoint {});
+        CPPUNIT_ASSERT(projection.peak() >= 9'000);
+        CPPUNIT_ASSERT(MemoryForecast::peakWith(projection, {5'000, 4'000, 0}, unknown) >= 18'000);
     }
 
-    // An engine goes silent in the middle of its runs. They do not end, and their callers wait on;
-    // if they were thought to grow all that time, the room of others would be kept for nothing.
-    void runsThatDoNotEndStopGrowing()
+    // Guards against unbounded projected growth of runs on an unresponsive engine.
+    void boundsRunsThatDoNotEnd()
     {
         MemoryForecast forecast;
         forecast.add(RunNumber(1), {5'000, 4'000, 7'000});
-        forecast.begin(RunNumber(1), TimePoint {});
-        const GenerationPace pace = fourThousandInFourSeconds();
+        forecast.beginDecode(RunNumber(1), TimePoint {});
+        const DecodeEstimator estimator = oneThousandTokensPerSecond();
         const auto peakAfter = [&](std::chrono::seconds time) {
-            return forecast.outlook(pace, TimePoint {} + time).peak();
+            return forecast.projection(estimator, TimePoint {} + time).peak();
         };
         CPPUNIT_ASSERT(peakAfter(std::chrono::seconds(60)) <= 12'001);
         CPPUNIT_ASSERT_EQUAL(peakAfter(std::chrono::seconds(10)),
                              peakAfter(std::chrono::seconds(60)));
     }
 
-    // The scheduler has changed, and nodes tell the new one what they hold. Runs that are half
-    // done want half of their output only; counted whole, all engines seem full for seconds, and
-    // callers are turned away from idle ones.
-    void aNewSchedulerKnowsHowFarRunsAre()
+    // Guards against counting the full output of runs that started under the previous scheduler.
+    void countsElapsedDecodeTime()
     {
         MemoryForecast forecast;
         forecast.add(RunNumber(1), {5'000, 4'000, 0});
-        forecast.begin(RunNumber(1), TimePoint {} - std::chrono::seconds(2));
-        const double peak = forecast.outlook(fourThousandInFourSeconds(), TimePoint {}).peak();
+        forecast.beginDecode(RunNumber(1), TimePoint {} - std::chrono::seconds(2));
+        const double peak = forecast.projection(oneThousandTokensPerSecond(), TimePoint {}).peak();
         CPPUNIT_ASSERT(peak >= 9'000);
         CPPUNIT_ASSERT(peak < 10'000);
     }
 
 private:
-    static GenerationPace fourThousandInFourSeconds()
+    static DecodeEstimator oneThousandTokensPerSecond()
     {
-        GenerationPace pace;
+        DecodeEstimator estimator;
         for (int i = 0; i < 200; ++i) {
-            pace.add(4'000, 4'000, std::chrono::seconds(4));
+            estimator.add(4'000, 4'000, std::chrono::seconds(4));
         }
-        return pace;
+        return estimator;
     }
 
     static void check(const EngineKind &kind)
     {
-        const MemoryUse use = MemoryReplay(kind).play(60);
-        const std::string text =
-            std::to_string(use.mean) + " used, overflowing " + std::to_string(use.overflowing);
-        CPPUNIT_ASSERT_MESSAGE(text, use.mean > 0.78);
-        CPPUNIT_ASSERT_MESSAGE(text, use.overflowing < 0.05);
+        const MemoryUsage usage = MemoryReplay(kind).simulate(60);
+        const std::string text = std::to_string(usage.mean) + " used, overflowing "
+            + std::to_string(usage.overcommitted);
+        CPPUNIT_ASSERT_MESSAGE(text, usage.mean > 0.78);
+        CPPUNIT_ASSERT_MESSAGE(text, usage.overcommitted < 0.05);
     }
 };
 
--- a/tests/scheduling/schedulerchoicetest.cpp
+++ b/tests/scheduling/schedulerchoicetest.cpp
@@ -30,42 +30,39 @@
 class SchedulerChoiceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SchedulerChoiceTest);
-    CPPUNIT_TEST(theLargestVmSchedules);
-    CPPUNIT_TEST(amongEqualsTheFirstByName);
-    CPPUNIT_TEST(aNodeThatComesBackTakesNothingOver);
-    CPPUNIT_TEST(restartsOfAllChangeNothing);
-    CPPUNIT_TEST(onlyNodesThatTakeClaims);
+    CPPUNIT_TEST(choosesLargestVm);
+    CPPUNIT_TEST(choosesFirstNameAmongEquals);
+    CPPUNIT_TEST(returningNodeDoesNotTakeOver);
+    CPPUNIT_TEST(simultaneousRestartsChangeNothing);
+    CPPUNIT_TEST(ignoresNodesWithoutSchedulingAddress);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void theLargestVmSchedules()
+    void choosesLargestVm()
     {
         const auto chosen = schedulerAmong({node("a", 0.12), node("b", 0.5), node("c", 0.25)});
         CPPUNIT_ASSERT(chosen->name == NodeName("b"));
     }
 
-    // All nodes must agree, in whatever order they learnt of each other.
-    void amongEqualsTheFirstByName()
+    // Guards against a choice that depends on the order of the members.
+    void choosesFirstNameAmongEquals()
     {
         CPPUNIT_ASSERT(schedulerAmong({node("b", 1), node("a", 1)})->name == NodeName("a"));
         CPPUNIT_ASSERT(schedulerAmong({node("a", 1), node("b", 1)})->name == NodeName("a"));
     }
 
-    // A node was cut off for a while and announces itself again. If it took over for its name, the
-    // one that knows what the engines hold would be replaced by one that knows nothing.
-    void aNodeThatComesBackTakesNothingOver()
+    // Guards against replacing an active scheduler by a returning node that has no state.
+    void returningNodeDoesNotTakeOver()
     {
         NodeEntry back = node("a", 1);
         back.announcedSince = 90;
-        NodeEntry present = node("b", 1);
-        present.announcedSince = 12;
-        CPPUNIT_ASSERT(schedulerAmong({back, present})->name == NodeName("b"));
+        NodeEntry available = node("b", 1);
+        available.announcedSince = 12;
+        CPPUNIT_ASSERT(schedulerAmong({back, available})->name == NodeName("b"));
     }
 
-    // All processes are killed at once and start again one after the other, before their leases
-    // end. If the one that has not announced itself anew yet counted as the oldest, the scheduler
-    // would change hands with each of them, and each new one would know nothing.
-    void restartsOfAllChangeNothing()
+    // Guards against changing the scheduler with each node while all processes restart in turn.
+    void simultaneousRestartsChangeNothing()
     {
         NodeEntry first = node("a", 1);
         first.announcedSince = 5;
@@ -78,7 +75,7 @@
         CPPUNIT_ASSERT(schedulerAmong({first, second})->name == NodeName("a"));
     }
 
-    void onlyNodesThatTakeClaims()
+    void ignoresNodesWithoutSchedulingAddress()
     {
         CPPUNIT_ASSERT(schedulerAmong({node("a", 1, ""), node("b", 0.1)})->name == NodeName("b"));
         CPPUNIT_ASSERT(!schedulerAmong({node("a", 1, "")}));
--- a/tests/scheduling/schedulercodectest.cpp
+++ b/tests/scheduling/schedulercodectest.cpp
@@ -8,53 +8,53 @@
 
 namespace {
 
-NodeLife life()
+NodeLife sender()
 {
     return {NodeName("n1"), Incarnation(17)};
 }
 
-std::string name()
+std::string arbitraryName()
 {
     return *rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
 }
 
-Duration duration()
+Duration arbitraryDuration()
 {
     return Duration(*rc::gen::inRange<std::int64_t>(-5'000'000, 20'000'000));
 }
 
-Claim anyClaim()
+Claim arbitraryClaim()
 {
     Claim claim;
     claim.claim = ClaimId(*rc::gen::inRange<std::uint64_t>(1, 1'000'000'000));
-    claim.service = ServiceName(name());
-    claim.domain = DomainName(name());
+    claim.service = ServiceName(arbitraryName());
+    claim.domain = DomainName(arbitraryName());
     claim.promptTokens = *rc::gen::inRange<std::uint32_t>(0, 100'000);
     claim.memory = {*rc::gen::inRange<std::uint64_t>(0, 100'000),
                     *rc::gen::inRange<std::uint64_t>(0, 100'000),
                     *rc::gen::inRange<std::uint64_t>(0, 100'000)};
     claim.urgency = *rc::gen::element(Urgency::GoesOn, Urgency::Fresh, Urgency::ComingBack);
     claim.priority = *rc::gen::inRange<std::uint32_t>(0, 10);
-    claim.waitsAtMost = duration();
-    claim.untilTarget = duration();
-    claim.lasts = duration();
-    claim.without.assign(*rc::gen::inRange<std::size_t>(0, 4), ServerName(name()));
+    claim.waitsAtMost = arbitraryDuration();
+    claim.untilTarget = arbitraryDuration();
+    claim.lasts = arbitraryDuration();
+    claim.without.assign(*rc::gen::inRange<std::size_t>(0, 4), ServerName(arbitraryName()));
     return claim;
 }
 
 template <typename Message>
-void checkAsked(Message message)
+void checkRequest(Message message)
 {
-    const Datagram<ToScheduler> datagram {life(), std::move(message)};
+    const Datagram<ToScheduler> datagram {sender(), std::move(message)};
     const auto read = decodeToScheduler(encode(datagram));
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT(*read == datagram);
 }
 
 template <typename Message>
-void checkAnswered(Message message)
+void checkReply(Message message)
 {
-    const Datagram<FromScheduler> datagram {life(), std::move(message)};
+    const Datagram<FromScheduler> datagram {sender(), std::move(message)};
     const auto read = decodeFromScheduler(encode(datagram));
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT(*read == datagram);
@@ -66,44 +66,45 @@
 class SchedulerCodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SchedulerCodecTest);
-    CPPUNIT_TEST(claimsComeBackAsTheyWere);
-    CPPUNIT_TEST(allOthersComeBackAsTheyWere);
-    CPPUNIT_TEST(brokenDatagramsAreNothing);
+    CPPUNIT_TEST(claimsRoundTrip);
+    CPPUNIT_TEST(otherMessagesRoundTrip);
+    CPPUNIT_TEST(rejectsMalformedDatagrams);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void claimsComeBackAsTheyWere()
+    void claimsRoundTrip()
     {
-        CPPUNIT_ASSERT(rc::check("claims", [] { checkAsked(anyClaim()); }));
+        CPPUNIT_ASSERT(rc::check("claims", [] { checkRequest(arbitraryClaim()); }));
     }
 
-    void allOthersComeBackAsTheyWere()
+    void otherMessagesRoundTrip()
     {
         const ClaimId id(9);
-        checkAsked(RoomHeld {
+        checkRequest(RoomHeld {
             id, ServiceName("s"), {5'000, 70, 90}, ServerName("d"), Duration(77), Duration(8)});
-        checkAsked(RoomHeld {
+        checkRequest(RoomHeld {
             id, ServiceName("s"), {5'000, 70, 0}, ServerName("d"), Duration(77), std::nullopt});
-        checkAsked(PrefillEnded {id, false, false});
-        checkAsked(ClaimEnded {id, ClaimEnd::HandleLost});
-        checkAsked(EngineChanging {ServerName("d"), EnginePhase::Prefill, std::chrono::seconds(8)});
-        checkAsked(
+        checkRequest(PrefillEnded {id, false, false});
+        checkRequest(ClaimEnded {id, ClaimEnd::HandleLost});
+        checkRequest(
+            EngineChanging {ServerName("d"), EnginePhase::Prefill, std::chrono::seconds(8)});
+        checkRequest(
             EngineChanging {ServerName("d"), EnginePhase::Decode, std::chrono::seconds(8), true});
-        checkAsked(WorkAsked {ServiceName("s")});
-        checkAnswered(WorkTold {ServiceName("s"), GenerationWork {0.125, 16'000}});
-        checkAnswered(ClaimQueued {id});
-        checkAnswered(ClaimGranted {id, ServerName("d"), ServerName("p"), std::nullopt});
-        checkAnswered(
+        checkRequest(WorkAsked {ServiceName("s")});
+        checkReply(WorkTold {ServiceName("s"), GenerationWork {0.125, 16'000}});
+        checkReply(ClaimQueued {id});
+        checkReply(ClaimGranted {id, ServerName("d"), ServerName("p"), std::nullopt});
+        checkReply(
             ClaimGranted {id, ServerName("d"), ServerName("p"), GenerationWork {0.125, 16'000}});
-        checkAnswered(ClaimGranted {id, ServerName("d"), ServerName("p"),
-                                    GenerationWork {0.125, 16'000}, true});
-        checkAnswered(ClaimRefused {id, 12, std::chrono::milliseconds(800)});
+        checkReply(ClaimGranted {id, ServerName("d"), ServerName("p"),
+                                 GenerationWork {0.125, 16'000}, true});
+        checkReply(ClaimRefused {id, 12, std::chrono::milliseconds(800)});
     }
 
-    // Anything can arrive on a UDP port: cut, changed, somebody else's.
-    void brokenDatagramsAreNothing()
+    // Guards against truncated, altered or foreign datagrams on the UDP port.
+    void rejectsMalformedDatagrams()
     {
-        const std::string whole = encode(Datagram<ToScheduler> {life(), ClaimEnded {ClaimId(1)}});
+        const std::string whole = encode(Datagram<ToScheduler> {sender(), ClaimEnded {ClaimId(1)}});
         for (std::size_t length = 0; length < whole.size(); ++length) {
             CPPUNIT_ASSERT(!decodeToScheduler(whole.substr(0, length)));
         }
--- a/tests/scheduling/schedulingplay.h
+++ b/tests/scheduling/schedulingplay.h
@@ -10,13 +10,13 @@
 
 namespace indigoway::scheduling {
 
-/** A scheduler in virtual time with its engines; a test plays the nodes that claim. */
-class SchedulingPlay
+/** Runs a scheduler with its engines in virtual time; the test acts as the nodes. */
+class SchedulerHarness
 {
 public:
     static constexpr std::uint64_t Memory = 50'000;
 
-    SchedulingPlay()
+    SchedulerHarness()
     {
         RoutingState state;
         state.version = 1;
@@ -63,30 +63,32 @@
         return claim;
     }
 
-    /** A claim that waits for room as long as it takes. */
-    static Claim patient(Claim claim)
+    /** Returns the claim with a long maximum wait and a distant target. */
+    static Claim withLongWait(Claim claim)
     {
         claim.waitsAtMost = std::chrono::seconds(9);
         claim.untilTarget = std::chrono::seconds(9);
         return claim;
     }
 
-    void tell(int milliseconds, const NodeLife &from, const ToScheduler &message)
+    void send(int milliseconds, const NodeLife &from, const ToScheduler &message)
     {
-        note(m_scheduler.handle(at(milliseconds), view(), from, message));
+        record(m_scheduler.handle(at(milliseconds), view(), from, message));
     }
-    void tick(int milliseconds) { note(m_scheduler.tick(at(milliseconds), view())); }
+    void tick(int milliseconds) { record(m_scheduler.tick(at(milliseconds), view())); }
 
-    /** "queued", "refused", "decode engine/prefill engine", "decode engine/whole", or empty if
-     * there was no answer. */
+    /**
+     * Returns the last answer to a claim: "queued", "refused", "decode engine/prefill engine",
+     * "decode engine/whole", or empty if there was none.
+     */
     std::string answer(const NodeLife &to, std::uint64_t claim) const
     {
         const auto it = m_answers.find({to, ClaimId(claim)});
         return it == m_answers.end() ? std::string() : it->second;
     }
-    /** What the scheduler has told of the engines' work; nothing if it was silent on it. */
+    /** Returns the last reported work, or nothing if there was no report. */
     const std::optional<GenerationWork> &work() const { return m_work; }
-    void forgetAnswers() { m_answers.clear(); }
+    void clearAnswers() { m_answers.clear(); }
 
     SchedulerState state(int milliseconds) const
     {
@@ -98,7 +100,7 @@
 private:
     EngineScheduler::View view() const { return {m_servers, *m_routes}; }
 
-    void note(const SchedulerReplies &replies)
+    void record(const SchedulerReplies &replies)
     {
         for (const SchedulerReply &reply : replies) {
             if (const auto *told = std::get_if<WorkTold>(&reply.message)) {
