--- a/src/scheduling/generationpace.cpp
+++ b/src/scheduling/decodeestimator.cpp
@@ -1,4 +1,4 @@
-#include "generationpace.h"
+#include "decodeestimator.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/scheduling/enginescheduler.h
+++ b/src/scheduling/enginescheduler.h
@@ -2,12 +2,12 @@
 
 #include "fleet/serverdirectory.h"
 #include "routing/routetable.h"
-#include "scheduling/claimwaits.h"
-#include "scheduling/enginechoice.h"
-#include "scheduling/engineledger.h"
+#include "scheduling/engineselector.h"
+#include "scheduling/enginetracker.h"
 #include "scheduling/schedulermessages.h"
 #include "scheduling/schedulerstate.h"
-#include "scheduling/servicepace.h"
+#include "scheduling/serviceestimators.h"
+#include "scheduling/waitestimator.h"
 
 #include <map>
 #include <optional>
--- a/src/scheduling/enginechoice.cpp
+++ b/src/scheduling/engineselector.cpp
@@ -1,4 +1,4 @@
-#include "enginechoice.h"
+#include "engineselector.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/scheduling/enginechoice.h
+++ b/src/scheduling/engineselector.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "fleet/serverdirectory.h"
-#include "scheduling/engineledger.h"
+#include "scheduling/enginetracker.h"
 #include "scheduling/schedulermessages.h"
-#include "scheduling/servicepace.h"
+#include "scheduling/serviceestimators.h"
 
 #include <cstddef>
 #include <limits>
--- a/src/scheduling/engineledger.cpp
+++ b/src/scheduling/enginetracker.cpp
@@ -1,4 +1,4 @@
-#include "engineledger.h"
+#include "enginetracker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/scheduling/engineledger.h
+++ b/src/scheduling/enginetracker.h
@@ -2,7 +2,7 @@
 
 #include "scheduling/handoverlosses.h"
 #include "scheduling/memoryforecast.h"
-#include "scheduling/prefillpace.h"
+#include "scheduling/prefillestimator.h"
 #include "scheduling/schedulermessages.h"
 
 #include <indigoway/announcedserver.h>
--- a/src/scheduling/generationwork.h
+++ b/src/scheduling/generationwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "scheduling/generationpace.h"
-#include "scheduling/prefillpace.h"
+#include "scheduling/decodeestimator.h"
+#include "scheduling/prefillestimator.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/scheduling/memoryforecast.h
+++ b/src/scheduling/memoryforecast.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "scheduling/generationpace.h"
+#include "scheduling/decodeestimator.h"
 
 #include <indigoway/ids.h>
 
--- a/src/scheduling/prefillpace.cpp
+++ b/src/scheduling/prefillestimator.cpp
@@ -1,4 +1,4 @@
-#include "prefillpace.h"
+#include "prefillestimator.h"
 
 #include <algorithm>
 
--- a/src/scheduling/claimwaits.cpp
+++ b/src/scheduling/waitestimator.cpp
@@ -1,4 +1,4 @@
-#include "claimwaits.h"
+#include "waitestimator.h"
 
 #include <algorithm>
 
--- a/src/scheduling/claimwaits.h
+++ b/src/scheduling/waitestimator.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "scheduling/prefillpace.h"
+#include "scheduling/prefillestimator.h"
 #include "scheduling/schedulermessages.h"
 
 #include <map>
--- a/tests/scheduling/engineschedulertest.cpp
+++ b/tests/scheduling/engineschedulertest.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/schedulingplay.h"
+#include "scheduling/schedulerharness.h"
 
 using namespace indigoway;
 using namespace indigoway::scheduling;
--- a/tests/scheduling/prefillpacetest.cpp
+++ b/tests/scheduling/prefillestimatortest.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/prefillpace.h"
+#include "scheduling/prefillestimator.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
