--- a/src/dispatch/engineplacement.cpp
+++ b/src/dispatch/engineplacement.cpp
@@ -63,12 +63,12 @@
 void EnginePlacement::handoverLost(const ServerName &prefill, const ServerName &decode,
                                    TimePoint now)
 {
-    m_handovers.lost(prefill, decode, now);
+    m_transferFaults.recordFailure(prefill, decode, now);
 }
 
-bool EnginePlacement::isBadSource(const ServerName &prefill, TimePoint now) const
+bool EnginePlacement::isFaultySource(const ServerName &prefill, TimePoint now) const
 {
-    return m_handovers.isBadSource(prefill, now);
+    return m_transferFaults.isFaultySource(prefill, now);
 }
 
 const AnnouncedServer *
@@ -88,7 +88,7 @@
         if (const auto load = m_tracker.freshLoad(server.name, now)) {
             score += (load->running + load->waiting) * TokensPerWaiting;
         }
-        return score + (m_handovers.isBadTarget(server.name, now) ? BadTargetTokens : 0);
+        return score + (m_transferFaults.isFaultyTarget(server.name, now) ? BadTargetTokens : 0);
     });
 }
 
@@ -98,14 +98,14 @@
 {
     return best(candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
         const auto it = m_engines.find(server.name);
-        if (isBadSource(server.name, now)) {
+        if (isFaultySource(server.name, now)) {
             return std::nullopt;
         }
         double waiting = it == m_engines.end() ? 0 : static_cast<double>(it->second.tokens);
         if (const auto load = m_tracker.freshLoad(server.name, now)) {
             waiting = std::max(waiting, (load->running + load->waiting) * TokensPerWaiting);
         }
-        waiting += m_handovers.isInDoubt(server.name, now) ? InDoubtTokens : 0;
+        waiting += m_transferFaults.hasUnattributedFailure(server.name, now) ? InDoubtTokens : 0;
         return waiting + (server.domain == need.domain ? 0 : OtherDomainTokens);
     });
 }
--- a/src/dispatch/engineplacement.h
+++ b/src/dispatch/engineplacement.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dispatch/servertracker.h"
-#include "scheduling/handoverlosses.h"
+#include "scheduling/kvtransferfaults.h"
 
 #include <indigoway/announcedserver.h>
 
@@ -38,7 +38,7 @@
     void handoverLost(const ServerName &prefill, const ServerName &decode, TimePoint now);
     void forget(const ServerName &server) { m_engines.erase(server); }
     /** The KV caches that @p prefill keeps are lost, whichever engine takes them. */
-    bool isBadSource(const ServerName &prefill, TimePoint now) const;
+    bool isFaultySource(const ServerName &prefill, TimePoint now) const;
 
     /** What a request needs of an engine. */
     struct Need
@@ -78,7 +78,7 @@
 
     const ServerTracker &m_tracker;
     std::map<ServerName, Engine> m_engines;
-    scheduling::HandoverLosses m_handovers;
+    scheduling::KvTransferFaults m_transferFaults;
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -353,7 +353,7 @@
     const AnnouncedServer *server = m_state.servers.find(planned);
     const bool isUsable = server && !request.tried.contains(planned)
         && m_state.servers.standing(planned, step.now) != Standing::Leaving
-        && !m_placement.isBadSource(planned, step.now);
+        && !m_placement.isFaultySource(planned, step.now);
     return isUsable ? server : nullptr;
 }
 
--- a/src/scheduling/engineselector.cpp
+++ b/src/scheduling/engineselector.cpp
@@ -210,7 +210,7 @@
                                         const AnnouncedServer &decode) const
 {
     Duration time = prefill.domain == decode.domain ? Duration(0) : CrossDomainDelay;
-    if (m_tracker.handovers().haveLost(prefill.name, decode.name, m_now)) {
+    if (m_tracker.transferFaults().haveFailedTogether(prefill.name, decode.name, m_now)) {
         time += FailedPairPenalty;
     }
     if (m_tracker.isSuspect(prefill.name, m_now)) {
@@ -247,7 +247,7 @@
 EngineSelector::Engines EngineSelector::usableDecodeEngines(const Engines &all) const
 {
     return healthyOrAll(availableEngines(all), [this](const AnnouncedServer *server) {
-        return !m_tracker.handovers().isBadTarget(server->name, m_now);
+        return !m_tracker.transferFaults().isFaultyTarget(server->name, m_now);
     });
 }
 
@@ -256,7 +256,7 @@
     const Engines available = availableEngines(all);
     // If no prefill engine is reachable, this node's link is probably down: use all of them.
     return healthyOrAll(available.empty() ? all : available, [this](const AnnouncedServer *server) {
-        return !m_tracker.handovers().isBadSource(server->name, m_now);
+        return !m_tracker.transferFaults().isFaultySource(server->name, m_now);
     });
 }
 
--- a/src/scheduling/enginetracker.cpp
+++ b/src/scheduling/enginetracker.cpp
@@ -251,7 +251,7 @@
 void EngineTracker::recordTransferFailure(const ServerName &prefill, const ServerName &decode,
                                           TimePoint now)
 {
-    m_handovers.lost(prefill, decode, now);
+    m_transferFaults.recordFailure(prefill, decode, now);
 }
 
 void EngineTracker::recordPhaseChange(const EngineChanging &change, TimePoint now)
--- a/src/scheduling/enginetracker.h
+++ b/src/scheduling/enginetracker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "scheduling/handoverlosses.h"
+#include "scheduling/kvtransferfaults.h"
 #include "scheduling/memoryforecast.h"
 #include "scheduling/prefillestimator.h"
 #include "scheduling/schedulermessages.h"
@@ -120,7 +120,7 @@
      * engine has enough memory.
      */
     bool isSuspect(const ServerName &server, TimePoint now) const;
-    const HandoverLosses &handovers() const { return m_handovers; }
+    const KvTransferFaults &transferFaults() const { return m_transferFaults; }
 
 private:
     struct QueuedPrompt
@@ -163,7 +163,7 @@
     static double slowdownOf(const Engine &engine, TimePoint now);
 
     std::map<ServerName, Engine> m_engines;
-    HandoverLosses m_handovers;
+    KvTransferFaults m_transferFaults;
 };
 
 } // namespace indigoway::scheduling
