--- a/src/dispatch/generationlimits.cpp
+++ b/src/dispatch/generationlimits.cpp
@@ -55,7 +55,7 @@
 
 Duration longestWait(const OpenRequest &request)
 {
-    if (request.urgency() == scheduling::Urgency::GoesOn) {
+    if (request.urgency() == scheduling::Urgency::Resumed) {
         return LongestPause;
     }
     const auto target = static_cast<double>(request.route->target.count());
--- a/src/dispatch/openrequests.cpp
+++ b/src/dispatch/openrequests.cpp
@@ -15,9 +15,9 @@
 scheduling::Urgency OpenRequest::urgency() const
 {
     if (isForwarding || facts.isContinuation) {
-        return scheduling::Urgency::GoesOn;
+        return scheduling::Urgency::Resumed;
     }
-    return isComingBack ? scheduling::Urgency::ComingBack : scheduling::Urgency::Fresh;
+    return isComingBack ? scheduling::Urgency::Retried : scheduling::Urgency::FirstAttempt;
 }
 
 std::uint32_t OpenRequest::priority() const
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -30,7 +30,7 @@
 }
 
 void SchedulerClaims::claim(Step &step, OpenRequest &request, const DomainName &domain,
-                            Duration waitsAtMost)
+                            Duration maxWait)
 {
     request.claim = ClaimId(++m_last);
     const bool readsWhole =
@@ -43,10 +43,10 @@
     message.memory = request.memory;
     message.urgency = request.urgency();
     message.priority = request.priority();
-    message.waitsAtMost = waitsAtMost;
-    message.untilTarget = request.arrived + request.route->target - step.now;
-    message.lasts = request.answerBy - step.now;
-    message.without.assign(request.tried.begin(), request.tried.end());
+    message.maxWait = maxWait;
+    message.timeToTarget = request.arrived + request.route->target - step.now;
+    message.maxDuration = request.answerBy - step.now;
+    message.excludedServers.assign(request.tried.begin(), request.tried.end());
     m_open[request.claim] = {request.facts.request, message, step.now, 1};
     send(step, std::move(message));
 }
@@ -153,8 +153,8 @@
             return voidAll(step);
         }
         ++open.unanswered;
-        open.message.untilTarget -= step.now - open.sentAt;
-        open.message.lasts -= step.now - open.sentAt;
+        open.message.timeToTarget -= step.now - open.sentAt;
+        open.message.maxDuration -= step.now - open.sentAt;
         open.sentAt = step.now;
         send(step, open.message);
     }
--- a/src/dispatch/schedulerclaims.h
+++ b/src/dispatch/schedulerclaims.h
@@ -26,7 +26,7 @@
     bool isUsable(TimePoint now) const { return m_scheduler && now >= m_silentUntil; }
 
     /** Claims engines for @p request, which has none yet. */
-    void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration waitsAtMost);
+    void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration maxWait);
     /** Tells of room that this node found by itself. */
     void tellHeld(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, const OpenRequest &request, bool isDone, bool isReachable);
--- a/src/scheduling/enginescheduler.cpp
+++ b/src/scheduling/enginescheduler.cpp
@@ -134,7 +134,7 @@
     if (m_waiting.contains(key)) {
         return;
     }
-    if (claim.urgency == Urgency::Fresh && claim.promptTokens > 0) {
+    if (claim.urgency == Urgency::FirstAttempt && claim.promptTokens > 0) {
         m_estimators[claim.service].generations.add(claim.promptTokens, claim.memory);
     }
     const WaitEstimate expected = estimateWait(now, view, claim);
@@ -160,7 +160,7 @@
     granted.memory = held.memory;
     granted.decodeServer = held.decodeServer;
     granted.since = now;
-    granted.deadline = now + held.lasts + ExpirySlack;
+    granted.deadline = now + held.maxDuration + ExpirySlack;
     m_tracker.addRun(held.decodeServer, granted.run, held.memory, now);
     if (held.decodingFor) {
         // Without the elapsed time, the forecast would count the full output again, and all engines
@@ -287,7 +287,7 @@
 {
     std::erase_if(m_waiting, [&](const auto &one) {
         const Duration waited = now - one.second.since;
-        const bool isOverdue = waited > one.second.claim.waitsAtMost;
+        const bool isOverdue = waited > one.second.claim.maxWait;
         if (isOverdue) {
             ++m_refusedAfterWait;
             replies.push_back({one.first.owner, ClaimRefused {one.first.claim, 0, waited}});
@@ -305,7 +305,7 @@
 
 TimePoint EngineScheduler::latestStart(TimePoint now, const Claim &claim) const
 {
-    return now + claim.untilTarget - FirstEventAfterPrefill
+    return now + claim.timeToTarget - FirstEventAfterPrefill
         - m_tracker.prefillTime(ServerName(), claim.promptTokens,
                                 estimatorsOf(claim.service).prefill, now);
 }
@@ -314,12 +314,12 @@
 {
     const PrefillEstimator &estimator = estimatorsOf(claim.service).prefill;
     // A prompt that would miss its target even on idle engines must not be refused forever.
-    const bool canMeetTarget = claim.urgency == Urgency::Fresh
+    const bool canMeetTarget = claim.urgency == Urgency::FirstAttempt
         && m_tracker.prefillTime(ServerName(), claim.promptTokens, estimator, now)
-            < claim.untilTarget;
+            < claim.timeToTarget;
     const Duration latest =
-        claim.untilTarget - m_waitEstimator.longPromptAllowance(claim, estimator);
-    return expected.memoryWait > claim.waitsAtMost
+        claim.timeToTarget - m_waitEstimator.longPromptAllowance(claim, estimator);
+    return expected.memoryWait > claim.maxWait
         || (canMeetTarget && expected.timeToFirstEvent > latest);
 }
 
@@ -414,8 +414,8 @@
     for (auto it = m_waiting.begin(); it != m_waiting.end(); ++it) {
         const WaitingClaim &waiting = it->second;
         if (waiting.claim.service == service) {
-            const bool isLate =
-                waiting.claim.urgency == Urgency::Fresh && now + prefillWait > waiting.latestStart;
+            const bool isLate = waiting.claim.urgency == Urgency::FirstAttempt
+                && now + prefillWait > waiting.latestStart;
             const int rank = isLate ? LateRank : static_cast<int>(waiting.claim.urgency);
             entries.push_back({rank, waiting.claim.priority, waiting.latestStart, it});
         }
@@ -492,12 +492,12 @@
 {
     const Claim &claim = waiting.claim;
     if (pass.minUnplacedTokens != 0 && claim.memory.whole() >= pass.minUnplacedTokens
-        && claim.without.empty()) {
+        && claim.excludedServers.empty()) {
         return false;
     }
     EngineSelector::DecodeCandidate *candidate = pass.engines.chooseDecodeEngine(claim);
     if (!candidate) {
-        if (claim.without.empty()) {
+        if (claim.excludedServers.empty()) {
             pass.minUnplacedTokens = claim.memory.whole();
         }
         return false;
@@ -519,7 +519,7 @@
                 ? pass.engines.chooseLocalPrefillEngine(claim)
                 : nullptr;
             if (!candidate) {
-                pass.isPrefillSaturated = claim.without.empty();
+                pass.isPrefillSaturated = claim.excludedServers.empty();
                 return false;
             }
             decode = candidate->server;
@@ -533,7 +533,7 @@
     granted.memory = claim.memory;
     granted.decodeServer = decode->name;
     granted.since = now;
-    granted.deadline = now + claim.lasts + ExpirySlack;
+    granted.deadline = now + claim.maxDuration + ExpirySlack;
     m_tracker.addRun(decode->name, granted.run, claim.memory, now);
     if (!granted.prefill) {
         beginDecode(granted, now);
--- a/src/scheduling/engineselector.cpp
+++ b/src/scheduling/engineselector.cpp
@@ -137,7 +137,8 @@
         if (candidate.isReserved || !isUsable(candidate)
             || MemoryForecast::peakWith(candidate.memory, claim.memory, m_estimators.decode)
                 > m_memory
-            || std::ranges::find(claim.without, candidate.server->name) != claim.without.end()) {
+            || std::ranges::find(claim.excludedServers, candidate.server->name)
+                != claim.excludedServers.end()) {
             continue;
         }
         const double score = candidate.peak
@@ -192,7 +193,8 @@
     Duration bestTime {};
     for (const AnnouncedServer *server : m_prefill) {
         if (m_tracker.prefillWait(server->name, m_now) > MaxPrefillWait
-            || std::ranges::find(claim.without, server->name) != claim.without.end()) {
+            || std::ranges::find(claim.excludedServers, server->name)
+                != claim.excludedServers.end()) {
             continue;
         }
         const Duration time =
--- a/src/scheduling/enginetracker.cpp
+++ b/src/scheduling/enginetracker.cpp
@@ -258,7 +258,7 @@
 {
     Engine &engine = m_engines[change.server];
     engine.targetPhase = change.to;
-    engine.phaseChangeEnd = now + change.lasts;
+    engine.phaseChangeEnd = now + change.maxDuration;
     engine.isPhaseChangeAccepted = change.isAccepted;
     engine.lastUsed = now;
 }
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -60,10 +60,10 @@
     write(value, claim.memory);
     value["urgency"] = static_cast<unsigned>(claim.urgency);
     value["priority"] = claim.priority;
-    value["waits_us"] = Json::Int64(claim.waitsAtMost.count());
-    value["until_target_us"] = Json::Int64(claim.untilTarget.count());
-    value["lasts_us"] = Json::Int64(claim.lasts.count());
-    for (const ServerName &server : claim.without) {
+    value["waits_us"] = Json::Int64(claim.maxWait.count());
+    value["until_target_us"] = Json::Int64(claim.timeToTarget.count());
+    value["lasts_us"] = Json::Int64(claim.maxDuration.count());
+    for (const ServerName &server : claim.excludedServers) {
         value["without"].append(server.text());
     }
     return value;
@@ -75,7 +75,7 @@
     value["service"] = held.service.text();
     write(value, held.memory);
     value["decode"] = held.decodeServer.text();
-    value["lasts_us"] = Json::Int64(held.lasts.count());
+    value["lasts_us"] = Json::Int64(held.maxDuration.count());
     if (held.decodingFor) {
         value["decoding_us"] = Json::Int64(held.decodingFor->count());
     }
@@ -103,7 +103,7 @@
     Json::Value value = header("changing", from);
     value["server"] = changing.server.text();
     value["to"] = changing.to == EnginePhase::Prefill ? "prefill" : "decode";
-    value["lasts_us"] = Json::Int64(changing.lasts.count());
+    value["lasts_us"] = Json::Int64(changing.maxDuration.count());
     value["accepted"] = changing.isAccepted;
     return value;
 }
@@ -175,19 +175,20 @@
     claim.memory = *memory;
     claim.promptTokens = static_cast<std::uint32_t>(prompt);
     const std::uint64_t urgency = numberMember(value, "urgency");
-    if (urgency > static_cast<unsigned>(Urgency::ComingBack)) {
+    if (urgency > static_cast<unsigned>(Urgency::Retried)) {
         return std::nullopt;
     }
     claim.urgency = static_cast<Urgency>(urgency);
     if (value["priority"].isUInt()) {
         claim.priority = value["priority"].asUInt();
     }
-    claim.waitsAtMost = durationMember(value, "waits_us");
-    claim.untilTarget = durationMember(value, "until_target_us");
-    claim.lasts = durationMember(value, "lasts_us");
+    claim.maxWait = durationMember(value, "waits_us");
+    claim.timeToTarget = durationMember(value, "until_target_us");
+    claim.maxDuration = durationMember(value, "lasts_us");
     if (value["without"].isArray()) {
         for (const Json::Value &server : value["without"]) {
-            claim.without.emplace_back(server.isString() ? server.asString() : std::string());
+            claim.excludedServers.emplace_back(server.isString() ? server.asString()
+                                                                 : std::string());
         }
     }
     return claim;
@@ -204,7 +205,7 @@
     }
     held.memory = *memory;
     held.decodeServer = ServerName(stringMember(value, "decode"));
-    held.lasts = durationMember(value, "lasts_us");
+    held.maxDuration = durationMember(value, "lasts_us");
     if (value["decoding_us"].isInt64()) {
         held.decodingFor = Duration(value["decoding_us"].asInt64());
     }
@@ -228,8 +229,8 @@
                              toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
                              durationMember(value, "lasts_us"),
                              value["accepted"].isBool() && value["accepted"].asBool()};
-    const bool isValid = !changing.server.isEmpty() && changing.lasts >= Duration(0)
-        && changing.lasts <= MaxPhaseChangeDuration;
+    const bool isValid = !changing.server.isEmpty() && changing.maxDuration >= Duration(0)
+        && changing.maxDuration <= MaxPhaseChangeDuration;
     return isValid ? std::optional<ToScheduler>(std::move(changing)) : std::nullopt;
 }
 
--- a/src/scheduling/schedulermessages.h
+++ b/src/scheduling/schedulermessages.h
@@ -19,9 +19,9 @@
 
 /** Serving order of claims while engines are short. */
 enum class Urgency {
-    GoesOn,     ///< Continues an interrupted stream that its caller is already receiving.
-    Fresh,      ///< First attempt, which can meet its target.
-    ComingBack, ///< Was refused before and is late already; served after all others.
+    Resumed,      ///< Continues an interrupted stream that its caller is already receiving.
+    FirstAttempt, ///< Can meet its target.
+    Retried,      ///< Was refused before and is late already; served after all others.
 };
 
 /**
@@ -35,13 +35,13 @@
     DomainName domain;              ///< Failure domain of the node that serves the caller.
     std::uint32_t promptTokens = 0; ///< Tokens to prefill; 0 if only a decode engine is needed.
     MemoryNeed memory;              ///< Memory needed on the decode engine.
-    Urgency urgency = Urgency::Fresh;
+    Urgency urgency = Urgency::FirstAttempt;
     std::uint32_t priority = 0; ///< Order among claims of the same urgency; 0 goes first.
-    Duration waitsAtMost {};    ///< Maximum wait, after which the claim is refused.
+    Duration maxWait {};        ///< Maximum wait, after which the claim is refused.
     /** Time left until the target for the first event; negative if it has passed. */
-    Duration untilTarget {};
-    Duration lasts {};               ///< Time after which the request has ended in any case.
-    std::vector<ServerName> without; ///< Engines that have already failed this request.
+    Duration timeToTarget {};
+    Duration maxDuration {}; ///< Time after which the request has ended in any case.
+    std::vector<ServerName> excludedServers; ///< Engines that have already failed this request.
     bool operator==(const Claim &) const = default;
 };
 
@@ -54,7 +54,7 @@
     ServiceName service;
     MemoryNeed memory;
     ServerName decodeServer;
-    Duration lasts {};
+    Duration maxDuration {};
     std::optional<Duration> decodingFor; ///< Time since the first token; unset before it.
     bool operator==(const RoomHeld &) const = default;
 };
@@ -93,7 +93,7 @@
     ServerName server;
     EnginePhase to = EnginePhase::None;
     /** Maximum duration from now; 0 if the engine keeps its phase after all. */
-    Duration lasts {};
+    Duration maxDuration {};
     bool isAccepted = false; ///< Whether the engine has accepted the order.
     bool operator==(const EngineChanging &) const = default;
 };
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -94,7 +94,7 @@
         play.wait(10, 100);
         const auto second = play.told<Claim>();
         CPPUNIT_ASSERT(first.claim == second.claim);
-        CPPUNIT_ASSERT(second.untilTarget < first.untilTarget);
+        CPPUNIT_ASSERT(second.timeToTarget < first.timeToTarget);
     }
 
     // The node that schedules is frozen, or the way to it is cut. Its callers' requests must not
@@ -212,11 +212,11 @@
         DispatchPlay play;
         useScheduler(play);
         play.arrive(0, "stream", Prompt);
-        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::Fresh);
+        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::FirstAttempt);
         play.arrive(10, "stream", Prompt, std::chrono::seconds(10));
-        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::ComingBack);
+        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::Retried);
         play.arrive(20, "stream", Prompt, std::chrono::seconds(12));
-        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::Fresh);
+        CPPUNIT_ASSERT(play.told<Claim>().urgency == Urgency::FirstAttempt);
     }
 };
 
--- a/tests/scheduling/burstreplaytest.cpp
+++ b/tests/scheduling/burstreplaytest.cpp
@@ -130,9 +130,9 @@
         claim.domain = DomainName(std::to_string(number % 3));
         claim.promptTokens = prompt;
         claim.memory = {prompt + 600, 0, 0};
-        claim.waitsAtMost = std::chrono::milliseconds(800);
-        claim.untilTarget = Target;
-        claim.lasts = std::chrono::seconds(14);
+        claim.maxWait = std::chrono::milliseconds(800);
+        claim.timeToTarget = Target;
+        claim.maxDuration = std::chrono::seconds(14);
         send(number, claim);
     }
 
--- a/tests/scheduling/engineschedulertest.cpp
+++ b/tests/scheduling/engineschedulertest.cpp
@@ -116,7 +116,7 @@
         harness.addEngine("p", EnginePhase::Prefill);
         Claim claim = SchedulerHarness::claimOf(1, 48'000);
         claim.promptTokens = 47'000;
-        claim.untilTarget = std::chrono::milliseconds(500);
+        claim.timeToTarget = std::chrono::milliseconds(500);
         harness.send(0, NodeA, claim);
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
     }
@@ -129,11 +129,11 @@
         harness.addEngine("p", EnginePhase::Prefill);
         harness.send(0, NodeA, SchedulerHarness::claimOf(1, 45'000));
         const Claim any = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 20'000));
-        harness.send(1, NodeB, withUrgency(any, Urgency::ComingBack));
+        harness.send(1, NodeB, withUrgency(any, Urgency::Retried));
         harness.send(2, NodeB,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2, 40'000)));
         Claim resumed = withUrgency(
-            SchedulerHarness::withLongWait(SchedulerHarness::claimOf(3, 40'000)), Urgency::GoesOn);
+            SchedulerHarness::withLongWait(SchedulerHarness::claimOf(3, 40'000)), Urgency::Resumed);
         resumed.promptTokens = 0;
         harness.send(3, NodeB, resumed);
         harness.send(50, NodeA, PrefillEnded {ClaimId(1), true});
@@ -171,8 +171,8 @@
             harness.send(0, NodeA, SchedulerHarness::claimOf(i));
         }
         Claim large = SchedulerHarness::claimOf(1, 11'000);
-        large.waitsAtMost = std::chrono::seconds(5);
-        large.untilTarget = std::chrono::milliseconds(1'150);
+        large.maxWait = std::chrono::seconds(5);
+        large.timeToTarget = std::chrono::milliseconds(1'150);
         harness.send(1, NodeB, large);
         int time = 200;
         for (std::uint64_t i = 1; i <= 3; ++i, time += 10) {
@@ -244,7 +244,7 @@
             for (std::uint64_t i = 1; i <= waiting; ++i) {
                 Claim late =
                     SchedulerHarness::withLongWait(SchedulerHarness::claimOf(2 + i, 25'000));
-                late.untilTarget = Duration(0);
+                late.timeToTarget = Duration(0);
                 harness.send(20, NodeA, late);
             }
             // Memory comes free for one of the claims.
--- a/tests/scheduling/memoryreplaytest.cpp
+++ b/tests/scheduling/memoryreplaytest.cpp
@@ -107,9 +107,9 @@
         claim.service = ServiceName("llm");
         claim.memory = {static_cast<std::uint64_t>(m_waiting[number].prompt),
                         static_cast<std::uint64_t>(output * lognormal(1, 0.4)), 0};
-        claim.waitsAtMost = m_gap * 10;
-        claim.untilTarget = std::chrono::hours(1);
-        claim.lasts = std::chrono::hours(100);
+        claim.maxWait = m_gap * 10;
+        claim.timeToTarget = std::chrono::hours(1);
+        claim.maxDuration = std::chrono::hours(100);
         send(claim);
         if (m_now < m_end) {
             schedule(m_gap, [this] { startRequest(); });
--- a/tests/scheduling/schedulercodectest.cpp
+++ b/tests/scheduling/schedulercodectest.cpp
@@ -33,12 +33,12 @@
     claim.memory = {*rc::gen::inRange<std::uint64_t>(0, 100'000),
                     *rc::gen::inRange<std::uint64_t>(0, 100'000),
                     *rc::gen::inRange<std::uint64_t>(0, 100'000)};
-    claim.urgency = *rc::gen::element(Urgency::GoesOn, Urgency::Fresh, Urgency::ComingBack);
+    claim.urgency = *rc::gen::element(Urgency::Resumed, Urgency::FirstAttempt, Urgency::Retried);
     claim.priority = *rc::gen::inRange<std::uint32_t>(0, 10);
-    claim.waitsAtMost = arbitraryDuration();
-    claim.untilTarget = arbitraryDuration();
-    claim.lasts = arbitraryDuration();
-    claim.without.assign(*rc::gen::inRange<std::size_t>(0, 4), ServerName(arbitraryName()));
+    claim.maxWait = arbitraryDuration();
+    claim.timeToTarget = arbitraryDuration();
+    claim.maxDuration = arbitraryDuration();
+    claim.excludedServers.assign(*rc::gen::inRange<std::size_t>(0, 4), ServerName(arbitraryName()));
     return claim;
 }
 
--- a/tests/scheduling/schedulerharness.h
+++ b/tests/scheduling/schedulerharness.h
@@ -57,17 +57,17 @@
         constexpr std::uint64_t LongestPrompt = 11'000;
         claim.promptTokens = static_cast<std::uint32_t>(std::min(tokens, LongestPrompt));
         claim.memory = {tokens, 0, 0};
-        claim.waitsAtMost = std::chrono::milliseconds(700);
-        claim.untilTarget = std::chrono::milliseconds(900);
-        claim.lasts = std::chrono::seconds(14);
+        claim.maxWait = std::chrono::milliseconds(700);
+        claim.timeToTarget = std::chrono::milliseconds(900);
+        claim.maxDuration = std::chrono::seconds(14);
         return claim;
     }
 
     /** Returns the claim with a long maximum wait and a distant target. */
     static Claim withLongWait(Claim claim)
     {
-        claim.waitsAtMost = std::chrono::seconds(9);
-        claim.untilTarget = std::chrono::seconds(9);
+        claim.maxWait = std::chrono::seconds(9);
+        claim.timeToTarget = std::chrono::seconds(9);
         return claim;
     }
 
