--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using scheduling::ClaimEnd;
+using scheduling::ClaimOutcome;
 
 constexpr int FirstServerFailure = 500;
 constexpr int BadGateway = 502;
@@ -41,20 +41,20 @@
 }
 
 /** What a reservation that was not granted says of its engine. */
-ClaimEnd endOfReservation(CallEnd end)
+ClaimOutcome endOfReservation(CallEnd end)
 {
     switch (end) {
     case CallEnd::NotExecuted:
     case CallEnd::Complete:
-        return ClaimEnd::HadNoRoom;
+        return ClaimOutcome::OutOfMemory;
     case CallEnd::NotConnected:
-        return ClaimEnd::Unreachable;
+        return ClaimOutcome::Unreachable;
     case CallEnd::Broken:
         break;
     }
     // Only its answer was lost. Taken for unreachable, each engine that loses some answers was out
     // for a second and more, many at once, while callers are refused.
-    return ClaimEnd::EngineFailed;
+    return ClaimOutcome::EngineFailed;
 }
 
 } // namespace
@@ -138,7 +138,7 @@
         }
         request.call = {};
     }
-    giveBack(step, request, ClaimEnd::Dropped);
+    giveBack(step, request, ClaimOutcome::Cancelled);
 }
 
 std::optional<TimePoint> GenerationFlow::tick(Step &step)
@@ -234,7 +234,8 @@
     if (const auto *refused = std::get_if<scheduling::ClaimRefused>(&event.message)) {
         request->claim = {};
         giveUpNotRun(step, *request,
-                     "no room, says the scheduler: claims_ahead=" + std::to_string(refused->ahead)
+                     "no room, says the scheduler: claims_ahead="
+                         + std::to_string(refused->claimsAhead)
                          + " wait_ms=" + millisecondsText(refused->expectedWait));
         return;
     }
@@ -248,13 +249,13 @@
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
         // What this node knows of the servers is newer.
-        m_claims.end(step, *request, scheduling::ClaimEnd::Dropped);
+        m_claims.end(step, *request, scheduling::ClaimOutcome::Cancelled);
         request->tried.insert(granted->decodeServer);
         pump(step);
         return;
     }
     request->plannedPrefill = granted->prefillServer;
-    request->isPlannedWhole = granted->readsWhole;
+    request->isPlannedWhole = granted->prefillsLocally;
     reserveAt(step, *request, *server);
 }
 
@@ -388,7 +389,7 @@
     const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
         request.tried.insert(request.decodeServer);
-        giveBack(step, request, ClaimEnd::Dropped);
+        giveBack(step, request, ClaimOutcome::Cancelled);
         enqueue(step, request);
         return;
     }
@@ -438,7 +439,7 @@
         if (isWell && !request.isForwarding) {
             request.handle.clear();
         }
-        giveBack(step, request, ClaimEnd::Served);
+        giveBack(step, request, ClaimOutcome::Served);
         if (request.isForwarding) {
             m_state.requests.endStream(step, request);
         } else {
@@ -461,7 +462,7 @@
                                   const CallEnded &event)
 {
     --request.runs;
-    ClaimEnd how = ClaimEnd::Dropped;
+    ClaimOutcome how = ClaimOutcome::Cancelled;
     step.add(RecordDecision {"decode_not_run", request.facts.callerId,
                              "kind=" + std::string(nameOf(call.kind))
                                  + " server=" + call.server.name.text() + " " + event.why});
@@ -469,13 +470,13 @@
     if (event.end == CallEnd::NotConnected) {
         --request.arrivals;
         request.tried.insert(call.server.name);
-        how = ClaimEnd::Unreachable;
+        how = ClaimOutcome::Unreachable;
     } else if (call.kind == CallKind::Decode) {
         // Room was reserved, so it is the KV cache that could not be had.
         m_placement.handoverLost(request.prefillServer, call.server.name, step.now);
         request.handle.clear();
         request.readsWhole = true;
-        how = ClaimEnd::HandleLost;
+        how = ClaimOutcome::KvCacheLost;
     }
     giveBack(step, request, how);
     enqueue(step, request);
@@ -501,7 +502,7 @@
 {
     request.handle.clear();
     request.tried.insert(request.decodeServer);
-    giveBack(step, request, ClaimEnd::EngineFailed);
+    giveBack(step, request, ClaimOutcome::EngineFailed);
     const bool mayGoOn = request.route->isResumable && request.runs < request.route->maxAttempts
         && m_state.allowance(request.service->name).take(step.now);
     if (mayGoOn) {
@@ -546,7 +547,7 @@
     }
 }
 
-void GenerationFlow::giveBack(Step &step, OpenRequest &request, ClaimEnd how)
+void GenerationFlow::giveBack(Step &step, OpenRequest &request, ClaimOutcome how)
 {
     m_claims.end(step, request, how);
     if (!request.decodeServer.isEmpty()) {
--- a/src/dispatch/generationflow.h
+++ b/src/dispatch/generationflow.h
@@ -72,7 +72,7 @@
     void noteFailure(Step &step, const ServerName &server, CallEnd end);
     void giveUpNotRun(Step &step, OpenRequest &request, const std::string &why);
     /** Gives back memory charged, reservation, handle and claim. */
-    void giveBack(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
+    void giveBack(Step &step, OpenRequest &request, scheduling::ClaimOutcome how);
     std::vector<const AnnouncedServer *> engines(Step &step, const OpenRequest &request,
                                                  EnginePhase phase) const;
 
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -75,13 +75,13 @@
     }
 }
 
-void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimEnd how)
+void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimOutcome how)
 {
     if (request.claim.isNone()) {
         return;
     }
     m_open.erase(request.claim);
-    const std::uint64_t made = how == ClaimEnd::Served
+    const std::uint64_t made = how == ClaimOutcome::Served
         ? std::uint64_t {request.eventsPassed} * request.service->engine->tokensPerEvent
         : 0;
     send(step, ClaimEnded {request.claim, how, made});
@@ -105,7 +105,7 @@
             const bool isHeld = std::ranges::any_of(
                 requests.all(), [claim](const auto &one) { return one.second.claim == claim; });
             if (!isHeld) {
-                send(step, ClaimEnded {claim, ClaimEnd::Dropped});
+                send(step, ClaimEnded {claim, ClaimOutcome::Cancelled});
             }
         }
         return std::nullopt;
@@ -181,7 +181,7 @@
     for (const auto &[number, open] : m_open) {
         requests.push_back(open.request);
         // If it is heard after all, it must not hold room for them.
-        send(step, ClaimEnded {number, ClaimEnd::Dropped});
+        send(step, ClaimEnded {number, ClaimOutcome::Cancelled});
     }
     m_open.clear();
     return requests;
--- a/src/dispatch/schedulerclaims.h
+++ b/src/dispatch/schedulerclaims.h
@@ -31,7 +31,7 @@
     void tellHeld(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, const OpenRequest &request, bool isDone, bool isReachable);
     /** The request gives up its claim, or what it was granted. */
-    void end(Step &step, OpenRequest &request, scheduling::ClaimEnd how);
+    void end(Step &step, OpenRequest &request, scheduling::ClaimOutcome how);
 
     /**
      * The scheduler has answered; the request whose claim it decided, if any still waits.
--- a/src/scheduling/enginescheduler.cpp
+++ b/src/scheduling/enginescheduler.cpp
@@ -142,7 +142,7 @@
         ++m_refusedAtOnce;
         // Refusing immediately lets the caller retry sooner.
         replies.push_back(
-            {key.owner, ClaimRefused {key.claim, expected.ahead, expected.memoryWait}});
+            {key.owner, ClaimRefused {key.claim, expected.claimsAhead, expected.memoryWait}});
         return;
     }
     m_waiting.emplace(key, WaitingClaim {claim, now, latestStart(now, claim)});
@@ -209,23 +209,23 @@
     const ServerName server = it->second.decodeServer;
     const ServerName prefillServer = it->second.reply.prefillServer;
     const Duration held = now - it->second.since;
-    if (ended.end == ClaimEnd::Served && it->second.decodeStart) {
+    if (ended.outcome == ClaimOutcome::Served && it->second.decodeStart) {
         m_estimators[it->second.service].decode.add(
-            it->second.memory.outputTokens, ended.madeTokens, now - *it->second.decodeStart);
+            it->second.memory.outputTokens, ended.generatedTokens, now - *it->second.decodeStart);
     }
     removeGrant(it, now);
-    if (ended.end == ClaimEnd::HadNoRoom) {
+    if (ended.outcome == ClaimOutcome::OutOfMemory) {
         const AnnouncedServer *known = view.servers.find(server);
         const Service *service = known ? view.routes.service(known->service) : nullptr;
         m_tracker.recordOutOfMemory(
             server, service && service->engine ? service->engine->memoryTokens : 0, now);
-    } else if (ended.end == ClaimEnd::EngineFailed) {
+    } else if (ended.outcome == ClaimOutcome::EngineFailed) {
         m_tracker.recordFailure(server, now);
-    } else if (ended.end == ClaimEnd::Unreachable) {
+    } else if (ended.outcome == ClaimOutcome::Unreachable) {
         m_tracker.recordUnreachable(server, now);
-    } else if (ended.end == ClaimEnd::HandleLost) {
+    } else if (ended.outcome == ClaimOutcome::KvCacheLost) {
         m_tracker.recordTransferFailure(prefillServer, server, now);
-    } else if (ended.end == ClaimEnd::Served) {
+    } else if (ended.outcome == ClaimOutcome::Served) {
         m_tracker.recordSuccess(server);
         m_waitEstimator.addHoldTime(held);
     }
@@ -366,14 +366,15 @@
             std::tie(waiting.claim.urgency, waiting.claim.priority, waiting.latestStart)
             <= std::tie(claim.urgency, claim.priority, latest);
         if (waiting.claim.service == claim.service && isAhead) {
-            ++result.ahead;
+            ++result.claimsAhead;
             tokensAhead += meanTokens(waiting.claim.memory);
             promptsAhead += prefillEstimator.computeTime(waiting.claim.promptTokens);
         }
     }
     // If claims wait although a prompt would be processed at once, they wait for memory: the free
     // memory is too fragmented for them or reserved.
-    const bool isMemoryShort = result.ahead > 0 && engines.leastPrefillWait() <= LongPrefillWait;
+    const bool isMemoryShort =
+        result.claimsAhead > 0 && engines.leastPrefillWait() <= LongPrefillWait;
     const double free = isMemoryShort ? 0 : engines.freeMemoryFor(claim.memory);
     const double requiredTokens = tokensAhead + meanTokens(claim.memory) - free;
     if (engines.memory() > 0 && requiredTokens > 0) {
@@ -524,7 +525,7 @@
             }
             decode = candidate->server;
             granted.reply.decodeServer = decode->name;
-            granted.reply.readsWhole = true;
+            granted.reply.prefillsLocally = true;
             m_tracker.beginLocalPrefill(decode->name, claim.promptTokens, estimators.prefill, now);
         }
     }
--- a/src/scheduling/enginescheduler.h
+++ b/src/scheduling/enginescheduler.h
@@ -102,7 +102,7 @@
     /** Expected wait of a new claim. */
     struct WaitEstimate
     {
-        std::uint32_t ahead = 0;
+        std::uint32_t claimsAhead = 0;
         Duration memoryWait {};       ///< Wait for memory on a decode engine.
         Duration timeToFirstEvent {}; ///< From now, including the wait.
     };
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -93,8 +93,8 @@
 Json::Value body(const NodeLife &from, const ClaimEnded &ended)
 {
     Json::Value value = header("ended", from, ended.claim);
-    value["how"] = static_cast<unsigned>(ended.end);
-    value["made"] = Json::UInt64(ended.madeTokens);
+    value["how"] = static_cast<unsigned>(ended.outcome);
+    value["made"] = Json::UInt64(ended.generatedTokens);
     return value;
 }
 
@@ -139,7 +139,7 @@
     Json::Value value = header("granted", from, granted.claim);
     value["decode"] = granted.decodeServer.text();
     value["prefill"] = granted.prefillServer.text();
-    value["whole"] = granted.readsWhole;
+    value["whole"] = granted.prefillsLocally;
     if (granted.work) {
         write(value, *granted.work);
     }
@@ -149,7 +149,7 @@
 Json::Value body(const NodeLife &from, const ClaimRefused &refused)
 {
     Json::Value value = header("refused", from, refused.claim);
-    value["ahead"] = refused.ahead;
+    value["ahead"] = refused.claimsAhead;
     value["wait_us"] = Json::Int64(refused.expectedWait.count());
     return value;
 }
@@ -216,10 +216,10 @@
 {
     const std::uint64_t how = numberMember(value, "how");
     const std::uint64_t generated = numberMember(value, "made");
-    if (how > static_cast<unsigned>(ClaimEnd::HandleLost) || generated > MaxTokens) {
+    if (how > static_cast<unsigned>(ClaimOutcome::KvCacheLost) || generated > MaxTokens) {
         return std::nullopt;
     }
-    return ClaimEnded {id, static_cast<ClaimEnd>(how), generated};
+    return ClaimEnded {id, static_cast<ClaimOutcome>(how), generated};
 }
 
 std::optional<ToScheduler> readChanging(const Json::Value &value)
--- a/src/scheduling/schedulermessages.h
+++ b/src/scheduling/schedulermessages.h
@@ -67,20 +67,20 @@
     bool operator==(const PrefillEnded &) const = default;
 };
 
-enum class ClaimEnd {
+enum class ClaimOutcome {
     Served,       ///< The decode engine completed its part.
-    Dropped,      ///< The caller has left.
-    HadNoRoom,    ///< The decode engine refused the run for lack of memory.
+    Cancelled,    ///< The request no longer needs its grant.
+    OutOfMemory,  ///< The decode engine refused the run for lack of memory.
     EngineFailed, ///< The decode engine failed during the run.
     Unreachable,  ///< The decode engine refused the connection.
-    HandleLost,   ///< The KV cache of the prefill engine was no longer available.
+    KvCacheLost,  ///< The KV cache of the prefill engine was no longer available.
 };
 
 struct ClaimEnded
 {
     ClaimId claim;
-    ClaimEnd end = ClaimEnd::Served;
-    std::uint64_t madeTokens = 0; ///< Output tokens of a served run; 0 if unknown.
+    ClaimOutcome outcome = ClaimOutcome::Served;
+    std::uint64_t generatedTokens = 0; ///< Output tokens of a served run; 0 if unknown.
     bool operator==(const ClaimEnded &) const = default;
 };
 
@@ -124,7 +124,7 @@
     ServerName prefillServer;           ///< Empty if the decode engine processes the prompt.
     std::optional<GenerationWork> work; ///< Mean work of the service's generations, if known.
     /** Whether the decode engine processes the prompt because prefill engines would be too late. */
-    bool readsWhole = false;
+    bool prefillsLocally = false;
     bool operator==(const ClaimGranted &) const = default;
 };
 
@@ -132,7 +132,7 @@
 struct ClaimRefused
 {
     ClaimId claim;
-    std::uint32_t ahead = 0; ///< Claims that wait ahead of this one.
+    std::uint32_t claimsAhead = 0; ///< Claims that wait ahead of this one.
     Duration expectedWait {};
     bool operator==(const ClaimRefused &) const = default;
 };
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -64,7 +64,7 @@
         const StartCall decode = play.nextCall(CallKind::Decode);
         play.reduce(180, StreamBegan {decode.call, 200, {}});
         play.end(3'000, decode, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::Served);
+        CPPUNIT_ASSERT(play.told<ClaimEnded>().outcome == ClaimOutcome::Served);
         CPPUNIT_ASSERT_EQUAL(std::string("streamed"), play.outcome(request));
     }
 
@@ -74,7 +74,7 @@
         useScheduler(play);
         play.arrive(0, "stream", Prompt);
         ClaimGranted granted = grantOf(play.told<Claim>(), "d2", "");
-        granted.readsWhole = true;
+        granted.prefillsLocally = true;
         play.reduce(5, SchedulerAnswered {granted, Life});
         const StartCall reserve = play.nextCall(CallKind::Reserve);
         // Its answer says that there is no room after all; the next engine is not to read whole.
@@ -169,7 +169,7 @@
         const auto request = play.arrive(0, "stream", Prompt);
         const auto claim = play.told<Claim>();
         play.reduce(10, CallerLeft {request});
-        CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::Dropped);
+        CPPUNIT_ASSERT(play.told<ClaimEnded>().outcome == ClaimOutcome::Cancelled);
         play.reduce(12, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         CPPUNIT_ASSERT(play.told<ClaimEnded>().claim == claim.claim);
         CPPUNIT_ASSERT(!play.hasCalls());
@@ -183,7 +183,7 @@
         const auto claim = play.told<Claim>();
         play.reduce(5, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         play.end(8, play.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
-        CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::HadNoRoom);
+        CPPUNIT_ASSERT(play.told<ClaimEnded>().outcome == ClaimOutcome::OutOfMemory);
         CPPUNIT_ASSERT(play.told<Claim>().claim != claim.claim);
     }
 
@@ -198,11 +198,11 @@
         const auto claim = play.told<Claim>();
         play.reduce(5, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         play.end(8, play.nextCall(CallKind::Reserve), CallEnd::Broken);
-        CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::EngineFailed);
+        CPPUNIT_ASSERT(play.told<ClaimEnded>().outcome == ClaimOutcome::EngineFailed);
         const auto second = play.told<Claim>();
         play.reduce(15, SchedulerAnswered {grantOf(second, "d2", "p1"), Life});
         play.end(18, play.nextCall(CallKind::Reserve), CallEnd::NotConnected);
-        CPPUNIT_ASSERT(play.told<ClaimEnded>().end == ClaimEnd::Unreachable);
+        CPPUNIT_ASSERT(play.told<ClaimEnded>().outcome == ClaimOutcome::Unreachable);
     }
 
     // Callers hand on what is left of their patience. One who has clearly less than the others
--- a/tests/scheduling/burstreplaytest.cpp
+++ b/tests/scheduling/burstreplaytest.cpp
@@ -184,7 +184,7 @@
         m_results.largeServed += isLarge(request.prompt) ? 1 : 0;
         send(number, PrefillEnded {ClaimId(number), true});
         schedule(m_now + DecodeTime, [this, number] {
-            send(number, ClaimEnded {ClaimId(number), ClaimEnd::Served});
+            send(number, ClaimEnded {ClaimId(number), ClaimOutcome::Served});
         });
     }
 
--- a/tests/scheduling/enginebehaviourtest.cpp
+++ b/tests/scheduling/enginebehaviourtest.cpp
@@ -43,9 +43,9 @@
         harness.send(time + 180, NodeA, PrefillEnded {ClaimId(first), true});
         harness.send(time + (isBehind ? 300 : 240), NodeA, PrefillEnded {ClaimId(second), true});
         harness.send(time + 400, NodeA,
-                     ClaimEnded {ClaimId(first), ClaimEnd::Served, OutputTokens});
+                     ClaimEnded {ClaimId(first), ClaimOutcome::Served, OutputTokens});
         harness.send(time + 400, NodeA,
-                     ClaimEnded {ClaimId(second), ClaimEnd::Served, OutputTokens});
+                     ClaimEnded {ClaimId(second), ClaimOutcome::Served, OutputTokens});
     }
     return behind;
 }
@@ -86,7 +86,7 @@
             ++answers[answer];
             harness.send(time + (answer == "d/slow" ? 900 : 170), NodeA,
                          PrefillEnded {ClaimId(i), true});
-            harness.send(time + 950, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served});
+            harness.send(time + 950, NodeA, ClaimEnded {ClaimId(i), ClaimOutcome::Served});
         }
         CPPUNIT_ASSERT(answers["d/slow"] > 0);
         CPPUNIT_ASSERT(answers["d/sound"] > 3 * answers["d/slow"]);
@@ -107,7 +107,8 @@
             grants += isChanging ? 1 : 0;
             harness.send(
                 time + 10, NodeA,
-                ClaimEnded {ClaimId(claim), isChanging ? ClaimEnd::HadNoRoom : ClaimEnd::Served});
+                ClaimEnded {ClaimId(claim),
+                            isChanging ? ClaimOutcome::OutOfMemory : ClaimOutcome::Served});
         }
         CPPUNIT_ASSERT(grants <= 3);
     }
@@ -120,7 +121,7 @@
         harness.addEngine("sound", EnginePhase::Decode);
         harness.send(0, NodeA, SchedulerHarness::claimOf(1));
         CPPUNIT_ASSERT_EQUAL(text("crashed/"), harness.answer(NodeA, 1));
-        harness.send(5, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Unreachable});
+        harness.send(5, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::Unreachable});
         harness.send(10, NodeB, SchedulerHarness::claimOf(1));
         CPPUNIT_ASSERT_EQUAL(text("sound/"), harness.answer(NodeB, 1));
     }
@@ -133,7 +134,7 @@
         harness.addEngine("p", EnginePhase::Prefill);
         harness.send(0, NodeA, SchedulerHarness::claimOf(1));
         harness.send(150, NodeA, PrefillEnded {ClaimId(1), true});
-        harness.send(160, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::HandleLost});
+        harness.send(160, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::KvCacheLost});
         harness.send(170, NodeA, SchedulerHarness::claimOf(2));
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 2));
     }
@@ -154,8 +155,9 @@
             const std::string answer = harness.answer(NodeA, i);
             harness.send(time + 10, NodeA, PrefillEnded {ClaimId(i), true});
             const bool isLost = answer.starts_with("d1/");
-            harness.send(time + 20, NodeA,
-                         ClaimEnded {ClaimId(i), isLost ? ClaimEnd::HandleLost : ClaimEnd::Served});
+            harness.send(
+                time + 20, NodeA,
+                ClaimEnded {ClaimId(i), isLost ? ClaimOutcome::KvCacheLost : ClaimOutcome::Served});
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {6}, harness.state(time).prefillUsable);
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, harness.state(time).decodeUsable);
@@ -223,7 +225,7 @@
         for (std::uint64_t i = 1; i <= 2; ++i) {
             harness.send(0, NodeA, SchedulerHarness::claimOf(i, 30'000));
             CPPUNIT_ASSERT_EQUAL(text("failing/"), harness.answer(NodeA, i));
-            harness.send(5, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::EngineFailed});
+            harness.send(5, NodeA, ClaimEnded {ClaimId(i), ClaimOutcome::EngineFailed});
         }
         harness.send(50, NodeA,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(11, 30'000)));
@@ -231,10 +233,10 @@
         harness.send(60, NodeA,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(12, 30'000)));
         CPPUNIT_ASSERT_EQUAL(text("failing/"), harness.answer(NodeA, 12));
-        harness.send(70, NodeA, ClaimEnded {ClaimId(12), ClaimEnd::EngineFailed});
+        harness.send(70, NodeA, ClaimEnded {ClaimId(12), ClaimOutcome::EngineFailed});
         harness.send(80, NodeA,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(13, 30'000)));
-        harness.send(85, NodeA, ClaimEnded {ClaimId(13), ClaimEnd::EngineFailed});
+        harness.send(85, NodeA, ClaimEnded {ClaimId(13), ClaimOutcome::EngineFailed});
         // After four consecutive failures the engine is excluded.
         harness.send(90, NodeA,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(14, 30'000)));
@@ -252,7 +254,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 2));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 3));
-        harness.send(10, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Dropped});
+        harness.send(10, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::Cancelled});
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 3));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeA, 4));
         // The response isn't earlier than expected without the first prompt, so the queue estimate
@@ -299,7 +301,7 @@
             const bool isShort = i % 2 == 0;
             harness.send(time, NodeA, SchedulerHarness::claimOf(i, isShort ? 1'000 : 8'000));
             harness.send(time + (isShort ? 600 : 300), NodeA, PrefillEnded {ClaimId(i), true});
-            harness.send(time + 700, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served});
+            harness.send(time + 700, NodeA, ClaimEnded {ClaimId(i), ClaimOutcome::Served});
         }
         std::map<std::string, int> sent;
         for (std::uint64_t i = 101; i <= 140; ++i) {
--- a/tests/scheduling/engineschedulertest.cpp
+++ b/tests/scheduling/engineschedulertest.cpp
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeA, 1));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
         harness.send(300, NodeA, PrefillEnded {ClaimId(1), true});
-        harness.send(400, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        harness.send(400, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::Served});
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeB, 1));
     }
 
@@ -138,9 +138,9 @@
         harness.send(3, NodeB, resumed);
         harness.send(50, NodeA, PrefillEnded {ClaimId(1), true});
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 3));
-        harness.send(60, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        harness.send(60, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::Served});
         CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 3));
-        harness.send(100, NodeB, ClaimEnded {ClaimId(3), ClaimEnd::Served});
+        harness.send(100, NodeB, ClaimEnded {ClaimId(3), ClaimOutcome::Served});
         CPPUNIT_ASSERT_EQUAL(text("d/p"), harness.answer(NodeB, 2));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
     }
@@ -176,7 +176,7 @@
         harness.send(1, NodeB, large);
         int time = 200;
         for (std::uint64_t i = 1; i <= 3; ++i, time += 10) {
-            harness.send(time, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served});
+            harness.send(time, NodeA, ClaimEnded {ClaimId(i), ClaimOutcome::Served});
             harness.send(time + 1, NodeA, SchedulerHarness::claimOf(100 + i));
         }
         CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 1));
@@ -282,7 +282,7 @@
         SchedulerHarness harness;
         harness.addEngine("d", EnginePhase::Decode);
         harness.send(0, NodeA, SchedulerHarness::claimOf(1));
-        harness.send(100, NodeA, ClaimEnded {ClaimId(1), ClaimEnd::Served});
+        harness.send(100, NodeA, ClaimEnded {ClaimId(1), ClaimOutcome::Served});
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, harness.scheduler().engines());
         harness.tick(90'000);
         CPPUNIT_ASSERT_EQUAL(std::size_t {0}, harness.scheduler().engines());
@@ -303,7 +303,7 @@
         harness.send(1, NodeB,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 20'000)));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
-        harness.send(50, NodeA, ClaimEnded {ClaimId(7), ClaimEnd::Served});
+        harness.send(50, NodeA, ClaimEnded {ClaimId(7), ClaimOutcome::Served});
         CPPUNIT_ASSERT_EQUAL(text("d/"), harness.answer(NodeB, 1));
     }
 
@@ -319,7 +319,7 @@
             claim.memory = {1'000, 100, 100};
             const int time = static_cast<int>(i) * 1'100;
             harness.send(time, NodeA, claim);
-            harness.send(time + 1'000, NodeA, ClaimEnded {ClaimId(i), ClaimEnd::Served, 100});
+            harness.send(time + 1'000, NodeA, ClaimEnded {ClaimId(i), ClaimOutcome::Served, 100});
         }
         constexpr int Start = 30'000;
         harness.send(Start, NodeA,
--- a/tests/scheduling/largefleettest.cpp
+++ b/tests/scheduling/largefleettest.cpp
@@ -85,7 +85,7 @@
             harness.send(round, node, claimIn("a", ++claim));
             const std::string answer = harness.answer(node, claim);
             CPPUNIT_ASSERT(answer.find('/') != std::string::npos);
-            harness.send(round, node, ClaimEnded {ClaimId(claim), ClaimEnd::Unreachable, 0});
+            harness.send(round, node, ClaimEnded {ClaimId(claim), ClaimOutcome::Unreachable, 0});
         }
     }
 };
--- a/tests/scheduling/memoryreplaytest.cpp
+++ b/tests/scheduling/memoryreplaytest.cpp
@@ -140,7 +140,7 @@
         schedule(Offset(0), [this, number] { send(PrefillEnded {ClaimId(number), true}); });
         schedule(seconds(run.output * m_kind.secondsPerToken), [this, number, run] {
             m_running.erase(number);
-            send(ClaimEnded {ClaimId(number), ClaimEnd::Served,
+            send(ClaimEnded {ClaimId(number), ClaimOutcome::Served,
                              static_cast<std::uint64_t>(run.output)});
         });
     }
--- a/tests/scheduling/schedulercodectest.cpp
+++ b/tests/scheduling/schedulercodectest.cpp
@@ -85,7 +85,7 @@
         checkRequest(RoomHeld {
             id, ServiceName("s"), {5'000, 70, 0}, ServerName("d"), Duration(77), std::nullopt});
         checkRequest(PrefillEnded {id, false, false});
-        checkRequest(ClaimEnded {id, ClaimEnd::HandleLost});
+        checkRequest(ClaimEnded {id, ClaimOutcome::KvCacheLost});
         checkRequest(
             EngineChanging {ServerName("d"), EnginePhase::Prefill, std::chrono::seconds(8)});
         checkRequest(
--- a/tests/scheduling/schedulerharness.h
+++ b/tests/scheduling/schedulerharness.h
@@ -111,7 +111,7 @@
             std::string text = "queued";
             if (const auto *granted = std::get_if<ClaimGranted>(&reply.message)) {
                 text = granted->decodeServer.text() + "/"
-                    + (granted->readsWhole ? "whole" : granted->prefillServer.text());
+                    + (granted->prefillsLocally ? "whole" : granted->prefillServer.text());
             } else if (std::holds_alternative<ClaimRefused>(reply.message)) {
                 text = "refused";
             }
