--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -223,7 +223,7 @@
 void GenerationFlow::schedulerAnswered(Step &step, const SchedulerAnswered &event)
 {
     const auto number = m_claims.answered(step, event.message, event.life, m_state.requests);
-    if (const auto *told = std::get_if<scheduling::WorkTold>(&event.message)) {
+    if (const auto *told = std::get_if<scheduling::WorkReport>(&event.message)) {
         m_phases.learn(told->service, told->work);
         return;
     }
--- a/src/dispatch/phasechanges.cpp
+++ b/src/dispatch/phasechanges.cpp
@@ -48,7 +48,7 @@
     m_workAskedAt = step.now;
     for (const auto &[name, service] : table.services()) {
         if (service.engine) {
-            step.add(TellScheduler {scheduling::WorkAsked {name}});
+            step.add(TellScheduler {scheduling::WorkQuery {name}});
         }
     }
 }
@@ -93,7 +93,7 @@
 
 void PhaseChanges::tellChanging(Step &step, const ServerName &server, bool isAccepted) const
 {
-    step.add(TellScheduler {scheduling::EngineChanging {
+    step.add(TellScheduler {scheduling::PhaseChangeNotice {
         server, m_orders.orderedPhase(server), m_orders.changesFor(server, step.now), isAccepted}});
 }
 
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -59,10 +59,10 @@
     if (request.claim.isNone()) {
         request.claim = ClaimId(++m_last);
     }
-    RoomHeld held {request.claim,        request.service->name,       request.memory,
-                   request.decodeServer, request.answerBy - step.now, std::nullopt};
+    ReservationReport held {request.claim,        request.service->name,       request.memory,
+                            request.decodeServer, request.answerBy - step.now, std::nullopt};
     if (request.firstAnswer != TimePoint {}) {
-        held.decodingFor = step.now - request.firstAnswer;
+        held.elapsedDecodeTime = step.now - request.firstAnswer;
     }
     send(step, std::move(held));
 }
--- a/src/scheduling/enginescheduler.cpp
+++ b/src/scheduling/enginescheduler.cpp
@@ -52,21 +52,21 @@
 {
     removeEarlierIncarnations(from, now);
     SchedulerReplies replies;
-    if (const auto *changing = std::get_if<EngineChanging>(&message)) {
-        m_tracker.recordPhaseChange(*changing, now);
+    if (const auto *notice = std::get_if<PhaseChangeNotice>(&message)) {
+        m_tracker.recordPhaseChange(*notice, now);
         return replies;
     }
-    if (const auto *asked = std::get_if<WorkAsked>(&message)) {
-        if (const auto work = estimatorsOf(asked->service).work()) {
-            replies.push_back({from, WorkTold {asked->service, *work}});
+    if (const auto *query = std::get_if<WorkQuery>(&message)) {
+        if (const auto work = estimatorsOf(query->service).work()) {
+            replies.push_back({from, WorkReport {query->service, *work}});
         }
         return replies;
     }
     const ClaimKey key {from, claimOf(message)};
     if (const auto *claim = std::get_if<Claim>(&message)) {
         process(now, view, key, *claim, replies);
-    } else if (const auto *held = std::get_if<RoomHeld>(&message)) {
-        process(now, key, *held);
+    } else if (const auto *reservation = std::get_if<ReservationReport>(&message)) {
+        process(now, key, *reservation);
     } else if (const auto *prefill = std::get_if<PrefillEnded>(&message)) {
         process(now, key, *prefill);
     } else {
@@ -148,24 +148,25 @@
     m_waiting.emplace(key, WaitingClaim {claim, now, latestStart(now, claim)});
 }
 
-void EngineScheduler::process(TimePoint now, const ClaimKey &key, const RoomHeld &held)
+void EngineScheduler::process(TimePoint now, const ClaimKey &key,
+                              const ReservationReport &reservation)
 {
     if (m_granted.contains(key)) {
         return;
     }
     m_waiting.erase(key);
     GrantedClaim granted;
-    granted.service = held.service;
+    granted.service = reservation.service;
     granted.run = RunNumber(++m_lastRun);
-    granted.memory = held.memory;
-    granted.decodeServer = held.decodeServer;
+    granted.memory = reservation.memory;
+    granted.decodeServer = reservation.decodeServer;
     granted.since = now;
-    granted.deadline = now + held.maxDuration + ExpirySlack;
-    m_tracker.addRun(held.decodeServer, granted.run, held.memory, now);
-    if (held.decodingFor) {
+    granted.deadline = now + reservation.maxDuration + ExpirySlack;
+    m_tracker.addRun(reservation.decodeServer, granted.run, reservation.memory, now);
+    if (reservation.elapsedDecodeTime) {
         // Without the elapsed time, the forecast would count the full output again, and all engines
         // would appear full after a change of scheduler.
-        beginDecode(granted, now - *held.decodingFor);
+        beginDecode(granted, now - *reservation.elapsedDecodeTime);
     }
     m_granted.emplace(key, std::move(granted));
 }
@@ -208,7 +209,7 @@
     }
     const ServerName server = it->second.decodeServer;
     const ServerName prefillServer = it->second.reply.prefillServer;
-    const Duration held = now - it->second.since;
+    const Duration holdTime = now - it->second.since;
     if (ended.outcome == ClaimOutcome::Served && it->second.decodeStart) {
         m_estimators[it->second.service].decode.add(
             it->second.memory.outputTokens, ended.generatedTokens, now - *it->second.decodeStart);
@@ -227,7 +228,7 @@
         m_tracker.recordTransferFailure(prefillServer, server, now);
     } else if (ended.outcome == ClaimOutcome::Served) {
         m_tracker.recordSuccess(server);
-        m_waitEstimator.addHoldTime(held);
+        m_waitEstimator.addHoldTime(holdTime);
     }
 }
 
--- a/src/scheduling/enginescheduler.h
+++ b/src/scheduling/enginescheduler.h
@@ -89,7 +89,7 @@
 
     void process(TimePoint now, const View &view, const ClaimKey &key, const Claim &claim,
                  SchedulerReplies &replies);
-    void process(TimePoint now, const ClaimKey &key, const RoomHeld &held);
+    void process(TimePoint now, const ClaimKey &key, const ReservationReport &reservation);
     void process(TimePoint now, const ClaimKey &key, const PrefillEnded &ended);
     void process(TimePoint now, const View &view, const ClaimKey &key, const ClaimEnded &ended);
     void removeEarlierIncarnations(const NodeLife &owner, TimePoint now);
--- a/src/scheduling/enginetracker.cpp
+++ b/src/scheduling/enginetracker.cpp
@@ -254,12 +254,12 @@
     m_transferFaults.recordFailure(prefill, decode, now);
 }
 
-void EngineTracker::recordPhaseChange(const EngineChanging &change, TimePoint now)
+void EngineTracker::recordPhaseChange(const PhaseChangeNotice &notice, TimePoint now)
 {
-    Engine &engine = m_engines[change.server];
-    engine.targetPhase = change.to;
-    engine.phaseChangeEnd = now + change.maxDuration;
-    engine.isPhaseChangeAccepted = change.isAccepted;
+    Engine &engine = m_engines[notice.server];
+    engine.targetPhase = notice.to;
+    engine.phaseChangeEnd = now + notice.maxDuration;
+    engine.isPhaseChangeAccepted = notice.isAccepted;
     engine.lastUsed = now;
 }
 
--- a/src/scheduling/enginetracker.h
+++ b/src/scheduling/enginetracker.h
@@ -96,7 +96,7 @@
      * Records that the engine has been, or is about to be, ordered to change its phase. It refuses
      * new work until it is announced in its new phase.
      */
-    void recordPhaseChange(const EngineChanging &change, TimePoint now);
+    void recordPhaseChange(const PhaseChangeNotice &notice, TimePoint now);
     /**
      * Returns the phase of @p server: the announced one, or the new one if the engine has accepted
      * an order and the time for the change has passed. Announcements arrive through the store;
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -69,15 +69,15 @@
     return value;
 }
 
-Json::Value body(const NodeLife &from, const RoomHeld &held)
-{
-    Json::Value value = header("held", from, held.claim);
-    value["service"] = held.service.text();
-    write(value, held.memory);
-    value["decode"] = held.decodeServer.text();
-    value["lasts_us"] = Json::Int64(held.maxDuration.count());
-    if (held.decodingFor) {
-        value["decoding_us"] = Json::Int64(held.decodingFor->count());
+Json::Value body(const NodeLife &from, const ReservationReport &reservation)
+{
+    Json::Value value = header("held", from, reservation.claim);
+    value["service"] = reservation.service.text();
+    write(value, reservation.memory);
+    value["decode"] = reservation.decodeServer.text();
+    value["lasts_us"] = Json::Int64(reservation.maxDuration.count());
+    if (reservation.elapsedDecodeTime) {
+        value["decoding_us"] = Json::Int64(reservation.elapsedDecodeTime->count());
     }
     return value;
 }
@@ -98,20 +98,20 @@
     return value;
 }
 
-Json::Value body(const NodeLife &from, const EngineChanging &changing)
+Json::Value body(const NodeLife &from, const PhaseChangeNotice &notice)
 {
     Json::Value value = header("changing", from);
-    value["server"] = changing.server.text();
-    value["to"] = changing.to == EnginePhase::Prefill ? "prefill" : "decode";
-    value["lasts_us"] = Json::Int64(changing.maxDuration.count());
-    value["accepted"] = changing.isAccepted;
+    value["server"] = notice.server.text();
+    value["to"] = notice.to == EnginePhase::Prefill ? "prefill" : "decode";
+    value["lasts_us"] = Json::Int64(notice.maxDuration.count());
+    value["accepted"] = notice.isAccepted;
     return value;
 }
 
-Json::Value body(const NodeLife &from, const WorkAsked &asked)
+Json::Value body(const NodeLife &from, const WorkQuery &query)
 {
     Json::Value value = header("work_asked", from);
-    value["service"] = asked.service.text();
+    value["service"] = query.service.text();
     return value;
 }
 
@@ -121,11 +121,11 @@
     value["decode_token_s"] = work.decodeTokenSeconds;
 }
 
-Json::Value body(const NodeLife &from, const WorkTold &told)
+Json::Value body(const NodeLife &from, const WorkReport &report)
 {
     Json::Value value = header("work", from);
-    value["service"] = told.service.text();
-    write(value, told.work);
+    value["service"] = report.service.text();
+    write(value, report.work);
     return value;
 }
 
@@ -194,22 +194,22 @@
     return claim;
 }
 
-std::optional<ToScheduler> readHeld(const Json::Value &value, ClaimId id)
+std::optional<ToScheduler> readReservation(const Json::Value &value, ClaimId id)
 {
-    RoomHeld held;
-    held.claim = id;
-    held.service = ServiceName(stringMember(value, "service"));
+    ReservationReport reservation;
+    reservation.claim = id;
+    reservation.service = ServiceName(stringMember(value, "service"));
     const auto memory = readMemoryNeed(value);
     if (!memory) {
         return std::nullopt;
     }
-    held.memory = *memory;
-    held.decodeServer = ServerName(stringMember(value, "decode"));
-    held.maxDuration = durationMember(value, "lasts_us");
+    reservation.memory = *memory;
+    reservation.decodeServer = ServerName(stringMember(value, "decode"));
+    reservation.maxDuration = durationMember(value, "lasts_us");
     if (value["decoding_us"].isInt64()) {
-        held.decodingFor = Duration(value["decoding_us"].asInt64());
+        reservation.elapsedDecodeTime = Duration(value["decoding_us"].asInt64());
     }
-    return held;
+    return reservation;
 }
 
 std::optional<ToScheduler> readEnded(const Json::Value &value, ClaimId id)
@@ -222,28 +222,28 @@
     return ClaimEnded {id, static_cast<ClaimOutcome>(how), generated};
 }
 
-std::optional<ToScheduler> readChanging(const Json::Value &value)
+std::optional<ToScheduler> readPhaseChange(const Json::Value &value)
 {
     const bool toPrefill = stringMember(value, "to") == "prefill";
-    EngineChanging changing {ServerName(stringMember(value, "server")),
-                             toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
-                             durationMember(value, "lasts_us"),
-                             value["accepted"].isBool() && value["accepted"].asBool()};
-    const bool isValid = !changing.server.isEmpty() && changing.maxDuration >= Duration(0)
-        && changing.maxDuration <= MaxPhaseChangeDuration;
-    return isValid ? std::optional<ToScheduler>(std::move(changing)) : std::nullopt;
+    PhaseChangeNotice notice {ServerName(stringMember(value, "server")),
+                              toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
+                              durationMember(value, "lasts_us"),
+                              value["accepted"].isBool() && value["accepted"].asBool()};
+    const bool isValid = !notice.server.isEmpty() && notice.maxDuration >= Duration(0)
+        && notice.maxDuration <= MaxPhaseChangeDuration;
+    return isValid ? std::optional<ToScheduler>(std::move(notice)) : std::nullopt;
 }
 
 std::optional<ToScheduler> readToScheduler(const Json::Value &value)
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "changing") {
-        return readChanging(value);
+        return readPhaseChange(value);
     }
     if (kind == "work_asked") {
-        WorkAsked asked {ServiceName(stringMember(value, "service"))};
-        return asked.service.isEmpty() ? std::nullopt
-                                       : std::optional<ToScheduler>(std::move(asked));
+        WorkQuery query {ServiceName(stringMember(value, "service"))};
+        return query.service.isEmpty() ? std::nullopt
+                                       : std::optional<ToScheduler>(std::move(query));
     }
     const ClaimId id(numberMember(value, "claim"));
     if (id.isNone()) {
@@ -253,7 +253,7 @@
         return readClaim(value, id);
     }
     if (kind == "held") {
-        return readHeld(value, id);
+        return readReservation(value, id);
     }
     if (kind == "prefilled" && value["done"].isBool() && value["reachable"].isBool()) {
         return PrefillEnded {id, value["done"].asBool(), value["reachable"].asBool()};
@@ -271,21 +271,21 @@
                                                                   : std::nullopt;
 }
 
-std::optional<FromScheduler> readTold(const Json::Value &value)
+std::optional<FromScheduler> readWorkReport(const Json::Value &value)
 {
     const auto work = readWork(value);
     ServiceName service(stringMember(value, "service"));
     if (!work || service.isEmpty()) {
         return std::nullopt;
     }
-    return WorkTold {std::move(service), *work};
+    return WorkReport {std::move(service), *work};
 }
 
 std::optional<FromScheduler> readFromScheduler(const Json::Value &value)
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "work") {
-        return readTold(value);
+        return readWorkReport(value);
     }
     const ClaimId id(numberMember(value, "claim"));
     if (id.isNone()) {
--- a/src/scheduling/schedulermessages.h
+++ b/src/scheduling/schedulermessages.h
@@ -48,15 +48,15 @@
 /**
  * Reports memory that a request holds and that another scheduler, or the node itself, had assigned.
  */
-struct RoomHeld
+struct ReservationReport
 {
     ClaimId claim;
     ServiceName service;
     MemoryNeed memory;
     ServerName decodeServer;
     Duration maxDuration {};
-    std::optional<Duration> decodingFor; ///< Time since the first token; unset before it.
-    bool operator==(const RoomHeld &) const = default;
+    std::optional<Duration> elapsedDecodeTime; ///< Time since the first token; unset before it.
+    bool operator==(const ReservationReport &) const = default;
 };
 
 struct PrefillEnded
@@ -88,27 +88,27 @@
  * Reports that an engine is ordered to change its phase; it refuses work until it is announced in
  * the new one.
  */
-struct EngineChanging
+struct PhaseChangeNotice
 {
     ServerName server;
     EnginePhase to = EnginePhase::None;
     /** Maximum duration from now; 0 if the engine keeps its phase after all. */
     Duration maxDuration {};
     bool isAccepted = false; ///< Whether the engine has accepted the order.
-    bool operator==(const EngineChanging &) const = default;
+    bool operator==(const PhaseChangeNotice &) const = default;
 };
 
 /**
  * Asks for the mean work of a service's generations. Sent by the node that orders phase changes.
  */
-struct WorkAsked
+struct WorkQuery
 {
     ServiceName service;
-    bool operator==(const WorkAsked &) const = default;
+    bool operator==(const WorkQuery &) const = default;
 };
 
 using ToScheduler =
-    std::variant<Claim, RoomHeld, PrefillEnded, ClaimEnded, EngineChanging, WorkAsked>;
+    std::variant<Claim, ReservationReport, PrefillEnded, ClaimEnded, PhaseChangeNotice, WorkQuery>;
 
 /** Confirms that the claim is waiting. */
 struct ClaimQueued
@@ -137,15 +137,15 @@
     bool operator==(const ClaimRefused &) const = default;
 };
 
-/** Answers WorkAsked; not sent until the work is known. */
-struct WorkTold
+/** Answers WorkQuery; not sent until the work is known. */
+struct WorkReport
 {
     ServiceName service;
     GenerationWork work;
-    bool operator==(const WorkTold &) const = default;
+    bool operator==(const WorkReport &) const = default;
 };
 
-using FromScheduler = std::variant<ClaimQueued, ClaimGranted, ClaimRefused, WorkTold>;
+using FromScheduler = std::variant<ClaimQueued, ClaimGranted, ClaimRefused, WorkReport>;
 
 /**
  * Returns the claim that a ToScheduler or FromScheduler @p message refers to, or none if it refers
@@ -155,9 +155,9 @@
 ClaimId claimOf(const Message &message)
 {
     return std::visit(
-        [](const auto &one) {
-            if constexpr (requires { one.claim; }) {
-                return one.claim;
+        [](const auto &alternative) {
+            if constexpr (requires { alternative.claim; }) {
+                return alternative.claim;
             } else {
                 return ClaimId();
             }
--- a/tests/dispatch/phasechangestest.cpp
+++ b/tests/dispatch/phasechangestest.cpp
@@ -52,7 +52,7 @@
         DispatchPlay play;
         prepare(play);
         pass(play, 0, 500);
-        CPPUNIT_ASSERT(play.told<scheduling::WorkAsked>().service == Engines);
+        CPPUNIT_ASSERT(play.told<scheduling::WorkQuery>().service == Engines);
         CPPUNIT_ASSERT(!play.hasCalls());
     }
 
@@ -62,7 +62,8 @@
         prepare(play);
         pass(play, 0, 500);
         play.reduce(
-            510, SchedulerAnswered {scheduling::WorkTold {Engines, MuchDecoding}, Incarnation(3)});
+            510,
+            SchedulerAnswered {scheduling::WorkReport {Engines, MuchDecoding}, Incarnation(3)});
         pass(play, 750, 3'000);
         const StartCall report = play.nextCall(CallKind::Report);
         CPPUNIT_ASSERT(report.server.text().starts_with("p"));
@@ -78,7 +79,7 @@
         play.dispatcher().setOrderRight(true);
         play.reduce(0, TimePassed {});
         play.reduce(
-            10, SchedulerAnswered {scheduling::WorkTold {Engines, MuchDecoding}, Incarnation(3)});
+            10, SchedulerAnswered {scheduling::WorkReport {Engines, MuchDecoding}, Incarnation(3)});
         play.wait(20, 1'000);
         CPPUNIT_ASSERT(!play.dispatcher().wantsOrderToken());
         play.wait(1'010, 2'000);
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -133,11 +133,11 @@
         play.grant(8, play.nextCall(CallKind::Reserve));
         play.dispatcher().setScheduler(NodeName("another"));
         play.arrive(100, "stream", Prompt);
-        CPPUNIT_ASSERT(play.told<RoomHeld>().claim == claim.claim);
+        CPPUNIT_ASSERT(play.told<ReservationReport>().claim == claim.claim);
         const auto second = play.told<Claim>();
         // That datagram may have been lost; the new life's first answer has it told again.
         play.reduce(105, SchedulerAnswered {ClaimQueued {second.claim}, Incarnation(2)});
-        const auto held = play.told<RoomHeld>();
+        const auto held = play.told<ReservationReport>();
         CPPUNIT_ASSERT(held.claim == claim.claim);
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
@@ -155,7 +155,7 @@
         play.grant(8, play.nextCall(CallKind::Reserve));
         play.dispatcher().setScheduler(NodeName("another"));
         play.reduce(250, TimePassed {});
-        const auto held = play.told<RoomHeld>();
+        const auto held = play.told<ReservationReport>();
         CPPUNIT_ASSERT(held.claim == claim.claim);
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
--- a/tests/scheduling/enginebehaviourtest.cpp
+++ b/tests/scheduling/enginebehaviourtest.cpp
@@ -172,7 +172,7 @@
         harness.addEngine("d2", EnginePhase::Decode);
         harness.send(
             0, NodeB,
-            EngineChanging {ServerName("d1"), EnginePhase::Prefill, std::chrono::seconds(8)});
+            PhaseChangeNotice {ServerName("d1"), EnginePhase::Prefill, std::chrono::seconds(8)});
         harness.send(10, NodeA, SchedulerHarness::claimOf(1));
         CPPUNIT_ASSERT_EQUAL(text("d2/"), harness.answer(NodeA, 1));
         // The engine is announced in its new phase.
@@ -183,7 +183,7 @@
         // The engine has refused the order.
         harness.send(
             20, NodeB,
-            EngineChanging {ServerName("d1"), EnginePhase::Prefill, std::chrono::seconds(0)});
+            PhaseChangeNotice {ServerName("d1"), EnginePhase::Prefill, std::chrono::seconds(0)});
         harness.send(30, NodeA, SchedulerHarness::claimOf(2));
         CPPUNIT_ASSERT_EQUAL(text("d1/"), harness.answer(NodeA, 2));
     }
@@ -200,9 +200,9 @@
             return std::chrono::seconds(count);
         };
         harness.send(0, NodeB,
-                     EngineChanging {ServerName("x"), EnginePhase::Decode, seconds(8), true});
+                     PhaseChangeNotice {ServerName("x"), EnginePhase::Decode, seconds(8), true});
         harness.send(0, NodeB,
-                     EngineChanging {ServerName("y"), EnginePhase::Decode, seconds(8), false});
+                     PhaseChangeNotice {ServerName("y"), EnginePhase::Decode, seconds(8), false});
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, harness.state(7'000).prefillUsable);
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, harness.state(7'000).decodeUsable);
         // Only the accepted change takes effect.
@@ -277,10 +277,10 @@
     void reportsWorkOnceKnown()
     {
         SchedulerHarness harness;
-        harness.send(0, NodeB, WorkAsked {ServiceName("llm")});
+        harness.send(0, NodeB, WorkQuery {ServiceName("llm")});
         CPPUNIT_ASSERT(!harness.work());
         sendPromptPairs(harness, 50);
-        harness.send(50'000, NodeB, WorkAsked {ServiceName("llm")});
+        harness.send(50'000, NodeB, WorkQuery {ServiceName("llm")});
         CPPUNIT_ASSERT(harness.work());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.12, harness.work()->prefillSeconds, 0.03);
     }
--- a/tests/scheduling/engineschedulertest.cpp
+++ b/tests/scheduling/engineschedulertest.cpp
@@ -39,7 +39,7 @@
     CPPUNIT_TEST(freesGrantsOfDeadNode);
     CPPUNIT_TEST(freesGrantsOfEarlierIncarnation);
     CPPUNIT_TEST(removesIdleEngines);
-    CPPUNIT_TEST(countsRoomHeldBeforeTakeover);
+    CPPUNIT_TEST(countsReservationsBeforeTakeover);
     CPPUNIT_TEST(tracksDecodeStartAfterTakeover);
     CPPUNIT_TEST_SUITE_END();
 
@@ -289,17 +289,17 @@
     }
 
     // Guards against granting memory again that was granted by the previous scheduler.
-    void countsRoomHeldBeforeTakeover()
+    void countsReservationsBeforeTakeover()
     {
         SchedulerHarness harness;
         harness.addEngine("d", EnginePhase::Decode);
         harness.send(0, NodeA,
-                     RoomHeld {ClaimId(7),
-                               ServiceName("llm"),
-                               {45'000, 0, 0},
-                               ServerName("d"),
-                               std::chrono::seconds(10),
-                               std::nullopt});
+                     ReservationReport {ClaimId(7),
+                                        ServiceName("llm"),
+                                        {45'000, 0, 0},
+                                        ServerName("d"),
+                                        std::chrono::seconds(10),
+                                        std::nullopt});
         harness.send(1, NodeB,
                      SchedulerHarness::withLongWait(SchedulerHarness::claimOf(1, 20'000)));
         CPPUNIT_ASSERT_EQUAL(text("queued"), harness.answer(NodeB, 1));
@@ -323,12 +323,12 @@
         }
         constexpr int Start = 30'000;
         harness.send(Start, NodeA,
-                     RoomHeld {ClaimId(100),
-                               ServiceName("llm"),
-                               {10'000, 30'000, 30'000},
-                               ServerName("d"),
-                               std::chrono::seconds(400),
-                               std::nullopt});
+                     ReservationReport {ClaimId(100),
+                                        ServiceName("llm"),
+                                        {10'000, 30'000, 30'000},
+                                        ServerName("d"),
+                                        std::chrono::seconds(400),
+                                        std::nullopt});
         harness.send(Start + 100, NodeA, PrefillEnded {ClaimId(100), true});
         // After 290 s the run is nearly finished and frees its memory before the new one grows.
         Claim claim = SchedulerHarness::withLongWait(SchedulerHarness::claimOf(101, 2'000));
--- a/tests/scheduling/schedulercodectest.cpp
+++ b/tests/scheduling/schedulercodectest.cpp
@@ -80,18 +80,18 @@
     void otherMessagesRoundTrip()
     {
         const ClaimId id(9);
-        checkRequest(RoomHeld {
+        checkRequest(ReservationReport {
             id, ServiceName("s"), {5'000, 70, 90}, ServerName("d"), Duration(77), Duration(8)});
-        checkRequest(RoomHeld {
+        checkRequest(ReservationReport {
             id, ServiceName("s"), {5'000, 70, 0}, ServerName("d"), Duration(77), std::nullopt});
         checkRequest(PrefillEnded {id, false, false});
         checkRequest(ClaimEnded {id, ClaimOutcome::KvCacheLost});
         checkRequest(
-            EngineChanging {ServerName("d"), EnginePhase::Prefill, std::chrono::seconds(8)});
-        checkRequest(
-            EngineChanging {ServerName("d"), EnginePhase::Decode, std::chrono::seconds(8), true});
-        checkRequest(WorkAsked {ServiceName("s")});
-        checkReply(WorkTold {ServiceName("s"), GenerationWork {0.125, 16'000}});
+            PhaseChangeNotice {ServerName("d"), EnginePhase::Prefill, std::chrono::seconds(8)});
+        checkRequest(PhaseChangeNotice {ServerName("d"), EnginePhase::Decode,
+                                        std::chrono::seconds(8), true});
+        checkRequest(WorkQuery {ServiceName("s")});
+        checkReply(WorkReport {ServiceName("s"), GenerationWork {0.125, 16'000}});
         checkReply(ClaimQueued {id});
         checkReply(ClaimGranted {id, ServerName("d"), ServerName("p"), std::nullopt});
         checkReply(
--- a/tests/scheduling/schedulerharness.h
+++ b/tests/scheduling/schedulerharness.h
@@ -103,8 +103,8 @@
     void record(const SchedulerReplies &replies)
     {
         for (const SchedulerReply &reply : replies) {
-            if (const auto *told = std::get_if<WorkTold>(&reply.message)) {
-                m_work = told->work;
+            if (const auto *report = std::get_if<WorkReport>(&reply.message)) {
+                m_work = report->work;
                 continue;
             }
             const ClaimId claim = scheduling::claimOf(reply.message);
