--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -38,8 +38,8 @@
     if (quota.unit == QuotaUnit::Requests) {
         return 1;
     }
-    const bool namesTokens = facts.promptTokens > 0 || facts.mostOutputTokens > 0;
-    return namesTokens ? static_cast<double>(facts.promptTokens) + facts.mostOutputTokens
+    const bool namesTokens = facts.promptTokens > 0 || facts.maxOutputTokens > 0;
+    return namesTokens ? static_cast<double>(facts.promptTokens) + facts.maxOutputTokens
                        : quota.plainCost;
 }
 
--- a/src/dispatch/dispatchevents.h
+++ b/src/dispatch/dispatchevents.h
@@ -23,7 +23,7 @@
     std::string path;                 ///< With its query.
     std::optional<Duration> patience; ///< How long the caller waits at the most.
     std::uint32_t promptTokens = 0;   ///< 0 if it is not a generation.
-    std::uint32_t mostOutputTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::optional<std::uint32_t> likelyOutputTokens; ///< The caller's own estimate.
     bool isContinuation = false; ///< Goes on after an event that the caller has already.
     bool isLastOnConnection = false;
--- a/src/dispatch/generationlimits.cpp
+++ b/src/dispatch/generationlimits.cpp
@@ -37,14 +37,14 @@
 
 scheduling::MemoryNeed memoryNeedOf(const ArrivedRequest &facts)
 {
-    const std::uint64_t most = facts.mostOutputTokens;
-    const std::uint64_t likely = facts.likelyOutputTokens.value_or(facts.mostOutputTokens);
+    const std::uint64_t most = facts.maxOutputTokens;
+    const std::uint64_t likely = facts.likelyOutputTokens.value_or(facts.maxOutputTokens);
     return {facts.promptTokens + BlockTokens, std::min(likely, most), most};
 }
 
 std::uint64_t tokensUnplanned(const ArrivedRequest &facts, const scheduling::MemoryNeed &need)
 {
-    const std::uint64_t most = facts.mostOutputTokens;
+    const std::uint64_t most = facts.maxOutputTokens;
     return need.contextTokens + std::min(most, partOf(need.outputTokens, ReservedOfLikely));
 }
 
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -421,7 +421,7 @@
         {"nodes_known", m_roster.count(present())},
         {"scheduler_waiting", m_scheduling.scheduler().waiting()},
         {"scheduler_granted", m_scheduling.scheduler().granted()},
-        {"scheduler_engines_looked", m_scheduling.scheduler().enginesLooked()},
+        {"scheduler_engines_looked", m_scheduling.scheduler().enginesExamined()},
         {"scheduler_unsent", m_scheduling.unsent()},
         {"order_looks", m_dispatcher.orderLooks()},
         {"quotas_scarce", m_scheduling.quotaKeeper().scarce()},
--- a/src/edge/schedulingexchange.cpp
+++ b/src/edge/schedulingexchange.cpp
@@ -141,7 +141,7 @@
             + std::to_string(state.prefillUsable) + "/" + std::to_string(state.prefillEngines)
             + " free_tokens=" + std::to_string(state.freeTokens) + "/"
             + std::to_string(state.memoryTokens)
-            + " prefill_wait_ms=" + dispatch::millisecondsText(state.leastPrefillWait)
+            + " prefill_wait_ms=" + dispatch::millisecondsText(state.shortestPrefillWait)
             + " refused_at_once=" + std::to_string(state.refusedAtOnce)
             + " refused_after_wait=" + std::to_string(state.refusedAfterWait));
 }
--- a/src/scheduling/decodeestimator.h
+++ b/src/scheduling/decodeestimator.h
@@ -12,9 +12,9 @@
 {
     /** Held from the start: the prompt and the output of earlier attempts. */
     std::uint64_t contextTokens = 0;
-    std::uint64_t outputTokens = 0;     ///< Output length as estimated by the caller.
-    std::uint64_t mostOutputTokens = 0; ///< Maximum output length; 0 if unknown.
-    std::uint64_t whole() const { return contextTokens + outputTokens; }
+    std::uint64_t outputTokens = 0;    ///< Output length as estimated by the caller.
+    std::uint64_t maxOutputTokens = 0; ///< Maximum output length; 0 if unknown.
+    std::uint64_t totalTokens() const { return contextTokens + outputTokens; }
     bool operator==(const MemoryNeed &) const = default;
 };
 
--- a/src/scheduling/enginescheduler.cpp
+++ b/src/scheduling/enginescheduler.cpp
@@ -117,7 +117,8 @@
         state.prefillUsable += engines.prefillEngines();
         state.memoryTokens += static_cast<std::uint64_t>(engines.memory());
         state.freeTokens += static_cast<std::uint64_t>(engines.freeMemoryFor({}));
-        state.leastPrefillWait = std::max(state.leastPrefillWait, engines.leastPrefillWait());
+        state.shortestPrefillWait =
+            std::max(state.shortestPrefillWait, engines.shortestPrefillWait());
     }
     return state;
 }
@@ -375,7 +376,7 @@
     // If claims wait although a prompt would be processed at once, they wait for memory: the free
     // memory is too fragmented for them or reserved.
     const bool isMemoryShort =
-        result.claimsAhead > 0 && engines.leastPrefillWait() <= LongPrefillWait;
+        result.claimsAhead > 0 && engines.shortestPrefillWait() <= LongPrefillWait;
     const double free = isMemoryShort ? 0 : engines.freeMemoryFor(claim.memory);
     const double requiredTokens = tokensAhead + meanTokens(claim.memory) - free;
     if (engines.memory() > 0 && requiredTokens > 0) {
@@ -461,7 +462,7 @@
     m_enginesExamined += pass.engines.examined();
     bool isAnyWaiting = false;
     pass.spareTokens = pass.engines.freeMemoryFor({}) - waitingTokens(service.name);
-    for (const auto it : servingOrder(now, pass.engines.leastPrefillWait(), service.name)) {
+    for (const auto it : servingOrder(now, pass.engines.shortestPrefillWait(), service.name)) {
         if (tryGrant(now, pass, it->first, it->second, replies)) {
             m_waiting.erase(it);
             continue;
@@ -493,14 +494,14 @@
                                const WaitingClaim &waiting, SchedulerReplies &replies)
 {
     const Claim &claim = waiting.claim;
-    if (pass.minUnplacedTokens != 0 && claim.memory.whole() >= pass.minUnplacedTokens
+    if (pass.minUnplacedTokens != 0 && claim.memory.totalTokens() >= pass.minUnplacedTokens
         && claim.excludedServers.empty()) {
         return false;
     }
     EngineSelector::DecodeCandidate *candidate = pass.engines.chooseDecodeEngine(claim);
     if (!candidate) {
         if (claim.excludedServers.empty()) {
-            pass.minUnplacedTokens = claim.memory.whole();
+            pass.minUnplacedTokens = claim.memory.totalTokens();
         }
         return false;
     }
--- a/src/scheduling/enginescheduler.h
+++ b/src/scheduling/enginescheduler.h
@@ -58,7 +58,7 @@
     std::size_t granted() const { return m_granted.size(); }
     std::size_t engines() const { return m_tracker.size(); }
     /** Returns the number of engines that were examined for all claims so far. */
-    std::uint64_t enginesLooked() const { return m_enginesExamined; }
+    std::uint64_t enginesExamined() const { return m_enginesExamined; }
 
 private:
     struct ClaimKey
--- a/src/scheduling/engineselector.cpp
+++ b/src/scheduling/engineselector.cpp
@@ -227,7 +227,7 @@
     return time;
 }
 
-Duration EngineSelector::leastPrefillWait() const
+Duration EngineSelector::shortestPrefillWait() const
 {
     Duration least = m_prefill.empty() ? Duration(0) : Duration::max();
     for (const AnnouncedServer *server : m_prefill) {
--- a/src/scheduling/engineselector.h
+++ b/src/scheduling/engineselector.h
@@ -73,7 +73,7 @@
     const AnnouncedServer *choosePrefillEngine(const Claim &claim,
                                                const AnnouncedServer &decode) const;
     /** Returns the shortest queueing delay of the prefill engines, or 0 if there are none. */
-    Duration leastPrefillWait() const;
+    Duration shortestPrefillWait() const;
     /**
      * Returns the shortest time to process a prompt of @p tokens that is sent now, including the
      * queueing delay, or 0 if there are no prefill engines.
--- a/src/scheduling/memoryforecast.cpp
+++ b/src/scheduling/memoryforecast.cpp
@@ -33,8 +33,8 @@
 {
     const double output = static_cast<double>(need.outputTokens) * estimator.outputRatio();
     const auto context = static_cast<double>(need.contextTokens);
-    const double most = need.mostOutputTokens > 0
-        ? static_cast<double>(need.mostOutputTokens)
+    const double most = need.maxOutputTokens > 0
+        ? static_cast<double>(need.maxOutputTokens)
         : output * (1 + MaxDeviations * estimator.spread());
     // Runs on an unresponsive engine don't end, and must not grow without bound.
     const double held = std::min(generated, most);
@@ -113,7 +113,7 @@
 {
     std::uint64_t tokens = 0;
     for (const auto &[number, run] : m_runs) {
-        tokens += run.need.whole();
+        tokens += run.need.totalTokens();
     }
     return tokens;
 }
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -37,7 +37,7 @@
 {
     value["context"] = Json::UInt64(need.contextTokens);
     value["output"] = Json::UInt64(need.outputTokens);
-    value["most_output"] = Json::UInt64(need.mostOutputTokens);
+    value["most_output"] = Json::UInt64(need.maxOutputTokens);
 }
 
 /** Reads a memory need, or nothing if it exceeds MaxTokens. */
@@ -45,7 +45,7 @@
 {
     const MemoryNeed need {numberMember(value, "context"), numberMember(value, "output"),
                            numberMember(value, "most_output")};
-    if (std::max({need.contextTokens, need.outputTokens, need.mostOutputTokens}) > MaxTokens) {
+    if (std::max({need.contextTokens, need.outputTokens, need.maxOutputTokens}) > MaxTokens) {
         return std::nullopt;
     }
     return need;
--- a/src/scheduling/schedulerstate.h
+++ b/src/scheduling/schedulerstate.h
@@ -20,7 +20,7 @@
     /** Memory of these engines beyond the projected peak of their runs. */
     std::uint64_t freeTokens = 0;
     /** Shortest queueing delay of the prefill engines; the largest over all services. */
-    Duration leastPrefillWait {};
+    Duration shortestPrefillWait {};
     std::uint64_t refusedAtOnce = 0; ///< Claims refused without waiting since the process started.
     std::uint64_t refusedAfterWait = 0;
 };
--- a/tests/dispatch/dispatchplay.h
+++ b/tests/dispatch/dispatchplay.h
@@ -124,7 +124,7 @@
         request.patience =
             patience.value_or(std::chrono::milliseconds(host == "plain" ? 1000 : 14'000));
         request.promptTokens = tokens;
-        request.mostOutputTokens = tokens == 0 ? 0 : 500;
+        request.maxOutputTokens = tokens == 0 ? 0 : 500;
         request.credentials = credentials;
         request.copyAge = copyAge;
         reduce(milliseconds, request);
--- a/tests/dispatch/generationlimitstest.cpp
+++ b/tests/dispatch/generationlimitstest.cpp
@@ -43,12 +43,12 @@
     {
         ArrivedRequest facts;
         facts.promptTokens = 1'000;
-        facts.mostOutputTokens = 600;
+        facts.maxOutputTokens = 600;
         facts.likelyOutputTokens = 500;
         const auto need = memoryNeedOf(facts);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {500}, need.outputTokens);
         CPPUNIT_ASSERT_EQUAL(need.contextTokens + 600, tokensUnplanned(facts, need));
-        CPPUNIT_ASSERT(tokensToBegin(need) < need.whole());
+        CPPUNIT_ASSERT(tokensToBegin(need) < need.totalTokens());
         facts.likelyOutputTokens = 9'000;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {600}, memoryNeedOf(facts).outputTokens);
     }
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -88,7 +88,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("/a/b?c=%2F"), request.path);
         CPPUNIT_ASSERT(*request.patience == std::chrono::milliseconds(14'000));
         CPPUNIT_ASSERT_EQUAL(1460U, request.promptTokens);
-        CPPUNIT_ASSERT_EQUAL(80U, request.mostOutputTokens);
+        CPPUNIT_ASSERT_EQUAL(80U, request.maxOutputTokens);
         CPPUNIT_ASSERT_EQUAL(60U, *request.likelyOutputTokens);
         MessageHead bare;
         bare.headers = {{"Indigoway-Request-Deadline", "soon"}, {"Indigoway-Token-Count", "1,x"}};
--- a/tests/scheduling/largefleettest.cpp
+++ b/tests/scheduling/largefleettest.cpp
@@ -53,7 +53,7 @@
                 CPPUNIT_ASSERT(harness.answer(harness.node("n1"), i).find('/')
                                != std::string::npos);
             }
-            examined.push_back(harness.scheduler().enginesLooked());
+            examined.push_back(harness.scheduler().enginesExamined());
         }
         CPPUNIT_ASSERT_EQUAL(examined.at(0), examined.at(1));
         CPPUNIT_ASSERT_EQUAL(examined.at(0), examined.at(2));
