--- a/src/dispatch/dispatchevents.h
+++ b/src/dispatch/dispatchevents.h
@@ -23,7 +23,7 @@
     std::string path;                 ///< Includes the query.
     std::optional<Duration> patience; ///< Maximum time the caller waits.
     std::uint32_t promptTokens = 0;   ///< 0 if the request is not a generation.
-    std::uint32_t mostOutputTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::optional<std::uint32_t> likelyOutputTokens; ///< Estimate provided by the caller.
     bool isContinuation = false; ///< Resumes after an event that the caller has received.
     bool isLastOnConnection = false;
--- a/src/dispatch/engineplacement.h
+++ b/src/dispatch/engineplacement.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dispatch/servertracker.h"
-#include "scheduling/handoverlosses.h"
+#include "scheduling/kvtransferfaults.h"
 
 #include <indigoway/announcedserver.h>
 
@@ -36,7 +36,7 @@
     /**
      * Returns whether KV caches held by @p prefill are expected to be lost at any decode engine.
      */
-    bool isBadSource(const ServerName &prefill, TimePoint now) const;
+    bool isFaultySource(const ServerName &prefill, TimePoint now) const;
 
     /** Requirements of a request. */
     struct Need
@@ -76,7 +76,7 @@
 
     const ServerTracker &m_serverTracker;
     std::map<ServerName, Engine> m_engines;
-    scheduling::HandoverLosses m_handovers;
+    scheduling::KvTransferFaults m_transferFaults;
 };
 
 } // namespace indigoway::dispatch
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using scheduling::ClaimEnd;
+using scheduling::ClaimOutcome;
 
 constexpr int FirstServerErrorStatus = 500;
 constexpr int BadGateway = 502;
@@ -42,20 +42,20 @@
 /**
  * Maps the result of a failed reservation to the claim result that is reported to the scheduler.
  */
-ClaimEnd claimEndOf(CallEnd end)
+ClaimOutcome claimEndOf(CallEnd end)
 {
     switch (end) {
     case CallEnd::NotExecuted:
     case CallEnd::Complete:
-        return ClaimEnd::HadNoRoom;
+        return ClaimOutcome::OutOfMemory;
     case CallEnd::NotConnected:
-        return ClaimEnd::Unreachable;
+        return ClaimOutcome::Unreachable;
     case CallEnd::Broken:
         break;
     }
     // A lost answer does not make the engine unreachable: with lossy links most engines would be
     // excluded.
-    return ClaimEnd::EngineFailed;
+    return ClaimOutcome::EngineFailed;
 }
 
 } // namespace
@@ -139,7 +139,7 @@
         }
         request.call = {};
     }
-    releaseResources(step, request, ClaimEnd::Dropped);
+    releaseResources(step, request, ClaimOutcome::Cancelled);
 }
 
 std::optional<TimePoint> GenerationFlow::tick(Step &step)
@@ -225,7 +225,7 @@
 void GenerationFlow::schedulerAnswered(Step &step, const SchedulerAnswered &event)
 {
     const auto number = m_claims.answered(step, event.message, event.life, m_state.requests);
-    if (const auto *measured = std::get_if<scheduling::WorkTold>(&event.message)) {
+    if (const auto *measured = std::get_if<scheduling::WorkReport>(&event.message)) {
         m_phases.updateWork(measured->service, measured->work);
         return;
     }
@@ -236,7 +236,8 @@
     if (const auto *refused = std::get_if<scheduling::ClaimRefused>(&event.message)) {
         request->claim = {};
         failUnsent(step, *request,
-                   "no room, says the scheduler: claims_ahead=" + std::to_string(refused->ahead)
+                   "no room, says the scheduler: claims_ahead="
+                       + std::to_string(refused->claimsAhead)
                        + " wait_ms=" + millisecondsText(refused->expectedWait));
         return;
     }
@@ -250,13 +251,13 @@
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
         // The local server list is newer than the grant.
-        m_claims.end(step, *request, scheduling::ClaimEnd::Dropped);
+        m_claims.end(step, *request, scheduling::ClaimOutcome::Cancelled);
         request->triedServers.insert(granted->decodeServer);
         processQueue(step);
         return;
     }
     request->plannedPrefill = granted->prefillServer;
-    request->isPlannedWhole = granted->readsWhole;
+    request->isPlannedWhole = granted->prefillsLocally;
     reserveAt(step, *request, *server);
 }
 
@@ -356,7 +357,7 @@
     const AnnouncedServer *server = m_state.servers.find(planned);
     const bool isAvailable = server && !request.triedServers.contains(planned)
         && m_state.servers.standing(planned, step.now) != Standing::Leaving
-        && !m_placement.isBadSource(planned, step.now);
+        && !m_placement.isFaultySource(planned, step.now);
     return isAvailable ? server : nullptr;
 }
 
@@ -391,7 +392,7 @@
     const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
     if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
         request.triedServers.insert(request.decodeServer);
-        releaseResources(step, request, ClaimEnd::Dropped);
+        releaseResources(step, request, ClaimOutcome::Cancelled);
         enqueue(step, request);
         return;
     }
@@ -442,7 +443,7 @@
         if (isSuccess && !request.isForwarding) {
             request.handle.clear();
         }
-        releaseResources(step, request, ClaimEnd::Served);
+        releaseResources(step, request, ClaimOutcome::Served);
         if (request.isForwarding) {
             m_state.requests.endStream(step, request);
         } else {
@@ -465,7 +466,7 @@
                                        const CallEnded &event)
 {
     --request.executions;
-    ClaimEnd result = ClaimEnd::Dropped;
+    ClaimOutcome result = ClaimOutcome::Cancelled;
     step.add(LogDecision {"decode_not_run", request.arrival.callerId,
                           "kind=" + std::string(nameOf(call.kind))
                               + " server=" + call.server.name.text() + " " + event.reason});
@@ -473,13 +474,13 @@
     if (event.end == CallEnd::NotConnected) {
         --request.countedCalls;
         request.triedServers.insert(call.server.name);
-        result = ClaimEnd::Unreachable;
+        result = ClaimOutcome::Unreachable;
     } else if (call.kind == CallKind::Decode) {
         // Memory was reserved, so the KV cache was not available.
         m_placement.handoverLost(request.prefillServer, call.server.name, step.now);
         request.handle.clear();
         request.readsWhole = true;
-        result = ClaimEnd::HandleLost;
+        result = ClaimOutcome::KvCacheLost;
     }
     releaseResources(step, request, result);
     enqueue(step, request);
@@ -505,7 +506,7 @@
 {
     request.handle.clear();
     request.triedServers.insert(request.decodeServer);
-    releaseResources(step, request, ClaimEnd::EngineFailed);
+    releaseResources(step, request, ClaimOutcome::EngineFailed);
     const bool mayResume = request.route->isResumable
         && request.executions < request.route->maxAttempts
         && m_state.retryBudget(request.service->name).tryTake(step.now);
@@ -551,7 +552,7 @@
     }
 }
 
-void GenerationFlow::releaseResources(Step &step, OpenRequest &request, ClaimEnd result)
+void GenerationFlow::releaseResources(Step &step, OpenRequest &request, ClaimOutcome result)
 {
     m_claims.end(step, request, result);
     if (!request.decodeServer.isEmpty()) {
--- a/src/dispatch/generationflow.h
+++ b/src/dispatch/generationflow.h
@@ -71,7 +71,7 @@
     void recordFailure(Step &step, const ServerName &server, CallEnd end);
     void failUnsent(Step &step, OpenRequest &request, const std::string &reason);
     /** Releases the engine load, reservation, handle and claim of @p request. */
-    void releaseResources(Step &step, OpenRequest &request, scheduling::ClaimEnd result);
+    void releaseResources(Step &step, OpenRequest &request, scheduling::ClaimOutcome result);
     std::vector<const AnnouncedServer *> candidateEngines(Step &step, const OpenRequest &request,
                                                           EnginePhase phase) const;
 
--- a/src/dispatch/schedulerclaims.cpp
+++ b/src/dispatch/schedulerclaims.cpp
@@ -29,7 +29,7 @@
 }
 
 void SchedulerClaims::claim(Step &step, OpenRequest &request, const DomainName &domain,
-                            Duration waitsAtMost)
+                            Duration maxWait)
 {
     request.claim = ClaimId(++m_lastClaim);
     const bool readsWhole =
@@ -42,10 +42,10 @@
     message.memory = request.memory;
     message.urgency = request.urgency();
     message.priority = request.priority();
-    message.waitsAtMost = waitsAtMost;
-    message.untilTarget = request.arrived + request.route->target - step.now;
-    message.lasts = request.deadline - step.now;
-    message.without.assign(request.triedServers.begin(), request.triedServers.end());
+    message.maxWait = maxWait;
+    message.timeToTarget = request.arrived + request.route->target - step.now;
+    message.maxDuration = request.deadline - step.now;
+    message.excludedServers.assign(request.triedServers.begin(), request.triedServers.end());
     m_pending[request.claim] = {request.arrival.request, message, step.now, 1};
     send(step, std::move(message));
 }
@@ -58,10 +58,10 @@
     if (request.claim.isNone()) {
         request.claim = ClaimId(++m_lastClaim);
     }
-    RoomHeld report {request.claim,        request.service->name,       request.memory,
-                     request.decodeServer, request.deadline - step.now, std::nullopt};
+    ReservationReport report {request.claim,        request.service->name,       request.memory,
+                              request.decodeServer, request.deadline - step.now, std::nullopt};
     if (request.firstAnswerAt != TimePoint {}) {
-        report.decodingFor = step.now - request.firstAnswerAt;
+        report.elapsedDecodeTime = step.now - request.firstAnswerAt;
     }
     send(step, std::move(report));
 }
@@ -74,13 +74,13 @@
     }
 }
 
-void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimEnd result)
+void SchedulerClaims::end(Step &step, OpenRequest &request, ClaimOutcome result)
 {
     if (request.claim.isNone()) {
         return;
     }
     m_pending.erase(request.claim);
-    const std::uint64_t made = result == ClaimEnd::Served
+    const std::uint64_t made = result == ClaimOutcome::Served
         ? std::uint64_t {request.forwardedEvents} * request.service->engine->tokensPerEvent
         : 0;
     send(step, ClaimEnded {request.claim, result, made});
@@ -104,7 +104,7 @@
             const bool isInUse = std::ranges::any_of(
                 requests.all(), [claim](const auto &one) { return one.second.claim == claim; });
             if (!isInUse) {
-                send(step, ClaimEnded {claim, ClaimEnd::Dropped});
+                send(step, ClaimEnded {claim, ClaimOutcome::Cancelled});
             }
         }
         return std::nullopt;
@@ -152,8 +152,8 @@
             return withdrawAll(step);
         }
         ++pending.unanswered;
-        pending.message.untilTarget -= step.now - pending.sentAt;
-        pending.message.lasts -= step.now - pending.sentAt;
+        pending.message.timeToTarget -= step.now - pending.sentAt;
+        pending.message.maxDuration -= step.now - pending.sentAt;
         pending.sentAt = step.now;
         send(step, pending.message);
     }
@@ -180,7 +180,7 @@
     for (const auto &[number, pending] : m_pending) {
         requests.push_back(pending.request);
         // A scheduler that is still running must not hold capacity for these claims.
-        send(step, ClaimEnded {number, ClaimEnd::Dropped});
+        send(step, ClaimEnded {number, ClaimOutcome::Cancelled});
     }
     m_pending.clear();
     return requests;
--- a/src/scheduling/schedulercodec.cpp
+++ b/src/scheduling/schedulercodec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** Bounds what a stray or forged datagram can claim. */
-constexpr std::uint64_t MostTokens = 100'000'000;
-constexpr Duration LongestChange = std::chrono::minutes(10);
+/** Bounds values in stray or forged datagrams. */
+constexpr std::uint64_t MaxTokens = 100'000'000;
+constexpr Duration MaxPhaseChangeDuration = std::chrono::minutes(10);
 
-Json::Value head(const char *kind, const NodeLife &from)
+Json::Value header(const char *kind, const NodeLife &from)
 {
     Json::Value value;
     value["kind"] = kind;
@@ -21,9 +21,9 @@
     return value;
 }
 
-Json::Value head(const char *kind, const NodeLife &from, ClaimId claim)
+Json::Value header(const char *kind, const NodeLife &from, ClaimId claim)
 {
-    Json::Value value = head(kind, from);
+    Json::Value value = header(kind, from);
     value["claim"] = Json::UInt64(claim.value());
     return value;
 }
@@ -37,15 +37,15 @@
 {
     value["context"] = Json::UInt64(need.contextTokens);
     value["output"] = Json::UInt64(need.outputTokens);
-    value["most_output"] = Json::UInt64(need.mostOutputTokens);
+    value["most_output"] = Json::UInt64(need.maxOutputTokens);
 }
 
-/** Nothing if no engine could hold so much. */
-std::optional<MemoryNeed> readNeed(const Json::Value &value)
+/** Reads a memory need, or nothing if it exceeds MaxTokens. */
+std::optional<MemoryNeed> readMemoryNeed(const Json::Value &value)
 {
     const MemoryNeed need {numberMember(value, "context"), numberMember(value, "output"),
                            numberMember(value, "most_output")};
-    if (std::max({need.contextTokens, need.outputTokens, need.mostOutputTokens}) > MostTokens) {
+    if (std::max({need.contextTokens, need.outputTokens, need.maxOutputTokens}) > MaxTokens) {
         return std::nullopt;
     }
     return need;
@@ -53,38 +53,38 @@
 
 Json::Value body(const NodeLife &from, const Claim &claim)
 {
-    Json::Value value = head("claim", from, claim.claim);
+    Json::Value value = header("claim", from, claim.claim);
     value["service"] = claim.service.text();
     value["domain"] = claim.domain.text();
     value["prompt"] = claim.promptTokens;
     write(value, claim.memory);
     value["urgency"] = static_cast<unsigned>(claim.urgency);
     value["priority"] = claim.priority;
-    value["waits_us"] = Json::Int64(claim.waitsAtMost.count());
-    value["until_target_us"] = Json::Int64(claim.untilTarget.count());
-    value["lasts_us"] = Json::Int64(claim.lasts.count());
-    for (const ServerName &server : claim.without) {
+    value["waits_us"] = Json::Int64(claim.maxWait.count());
+    value["until_target_us"] = Json::Int64(claim.timeToTarget.count());
+    value["lasts_us"] = Json::Int64(claim.maxDuration.count());
+    for (const ServerName &server : claim.excludedServers) {
         value["without"].append(server.text());
     }
     return value;
 }
 
-Json::Value body(const NodeLife &from, const RoomHeld &held)
+Json::Value body(const NodeLife &from, const ReservationReport &reservation)
 {
-    Json::Value value = head("held", from, held.claim);
-    value["service"] = held.service.text();
-    write(value, held.memory);
-    value["decode"] = held.decodeServer.text();
-    value["lasts_us"] = Json::Int64(held.lasts.count());
-    if (held.decodingFor) {
-        value["decoding_us"] = Json::Int64(held.decodingFor->count());
+    Json::Value value = header("held", from, reservation.claim);
+    value["service"] = reservation.service.text();
+    write(value, reservation.memory);
+    value["decode"] = reservation.decodeServer.text();
+    value["lasts_us"] = Json::Int64(reservation.maxDuration.count());
+    if (reservation.elapsedDecodeTime) {
+        value["decoding_us"] = Json::Int64(reservation.elapsedDecodeTime->count());
     }
     return value;
 }
 
 Json::Value body(const NodeLife &from, const PrefillEnded &ended)
 {
-    Json::Value value = head("prefilled", from, ended.claim);
+    Json::Value value = header("prefilled", from, ended.claim);
     value["done"] = ended.isDone;
     value["reachable"] = ended.isReachable;
     return value;
@@ -92,26 +92,26 @@
 
 Json::Value body(const NodeLife &from, const ClaimEnded &ended)
 {
-    Json::Value value = head("ended", from, ended.claim);
-    value["how"] = static_cast<unsigned>(ended.end);
-    value["made"] = Json::UInt64(ended.madeTokens);
+    Json::Value value = header("ended", from, ended.claim);
+    value["how"] = static_cast<unsigned>(ended.outcome);
+    value["made"] = Json::UInt64(ended.generatedTokens);
     return value;
 }
 
-Json::Value body(const NodeLife &from, const EngineChanging &changing)
+Json::Value body(const NodeLife &from, const PhaseChangeNotice &notice)
 {
-    Json::Value value = head("changing", from);
-    value["server"] = changing.server.text();
-    value["to"] = changing.to == EnginePhase::Prefill ? "prefill" : "decode";
-    value["lasts_us"] = Json::Int64(changing.lasts.count());
-    value["accepted"] = changing.isAccepted;
+    Json::Value value = header("changing", from);
+    value["server"] = notice.server.text();
+    value["to"] = notice.to == EnginePhase::Prefill ? "prefill" : "decode";
+    value["lasts_us"] = Json::Int64(notice.maxDuration.count());
+    value["accepted"] = notice.isAccepted;
     return value;
 }
 
-Json::Value body(const NodeLife &from, const WorkAsked &asked)
+Json::Value body(const NodeLife &from, const WorkQuery &query)
 {
-    Json::Value value = head("work_asked", from);
-    value["service"] = asked.service.text();
+    Json::Value value = header("work_asked", from);
+    value["service"] = query.service.text();
     return value;
 }
 
@@ -121,25 +121,25 @@
     value["decode_token_s"] = work.decodeTokenSeconds;
 }
 
-Json::Value body(const NodeLife &from, const WorkTold &told)
+Json::Value body(const NodeLife &from, const WorkReport &report)
 {
-    Json::Value value = head("work", from);
-    value["service"] = told.service.text();
-    write(value, told.work);
+    Json::Value value = header("work", from);
+    value["service"] = report.service.text();
+    write(value, report.work);
     return value;
 }
 
 Json::Value body(const NodeLife &from, const ClaimQueued &queued)
 {
-    return head("queued", from, queued.claim);
+    return header("queued", from, queued.claim);
 }
 
 Json::Value body(const NodeLife &from, const ClaimGranted &granted)
 {
-    Json::Value value = head("granted", from, granted.claim);
+    Json::Value value = header("granted", from, granted.claim);
     value["decode"] = granted.decodeServer.text();
     value["prefill"] = granted.prefillServer.text();
-    value["whole"] = granted.readsWhole;
+    value["whole"] = granted.prefillsLocally;
     if (granted.work) {
         write(value, *granted.work);
     }
@@ -148,13 +148,13 @@
 
 Json::Value body(const NodeLife &from, const ClaimRefused &refused)
 {
-    Json::Value value = head("refused", from, refused.claim);
-    value["ahead"] = refused.ahead;
+    Json::Value value = header("refused", from, refused.claim);
+    value["ahead"] = refused.claimsAhead;
     value["wait_us"] = Json::Int64(refused.expectedWait.count());
     return value;
 }
 
-/** Nothing if it has no sender. */
+/** Reads the sender, or nothing if the node name is missing. */
 std::optional<NodeLife> senderOf(const Json::Value &value)
 {
     NodeLife from {NodeName(stringMember(value, "node")), Incarnation(numberMember(value, "life"))};
@@ -168,81 +168,82 @@
     claim.service = ServiceName(stringMember(value, "service"));
     claim.domain = DomainName(stringMember(value, "domain"));
     const std::uint64_t prompt = numberMember(value, "prompt");
-    const auto memory = readNeed(value);
-    if (prompt > MostTokens || !memory) {
+    const auto memory = readMemoryNeed(value);
+    if (prompt > MaxTokens || !memory) {
         return std::nullopt;
     }
     claim.memory = *memory;
     claim.promptTokens = static_cast<std::uint32_t>(prompt);
     const std::uint64_t urgency = numberMember(value, "urgency");
-    if (urgency > static_cast<unsigned>(Urgency::ComingBack)) {
+    if (urgency > static_cast<unsigned>(Urgency::Retried)) {
         return std::nullopt;
     }
     claim.urgency = static_cast<Urgency>(urgency);
     if (value["priority"].isUInt()) {
         claim.priority = value["priority"].asUInt();
     }
-    claim.waitsAtMost = durationMember(value, "waits_us");
-    claim.untilTarget = durationMember(value, "until_target_us");
-    claim.lasts = durationMember(value, "lasts_us");
+    claim.maxWait = durationMember(value, "waits_us");
+    claim.timeToTarget = durationMember(value, "until_target_us");
+    claim.maxDuration = durationMember(value, "lasts_us");
     if (value["without"].isArray()) {
         for (const Json::Value &server : value["without"]) {
-            claim.without.emplace_back(server.isString() ? server.asString() : std::string());
+            claim.excludedServers.emplace_back(server.isString() ? server.asString()
+                                                                 : std::string());
         }
     }
     return claim;
 }
 
-std::optional<ToScheduler> readHeld(const Json::Value &value, ClaimId id)
+std::optional<ToScheduler> readReservation(const Json::Value &value, ClaimId id)
 {
-    RoomHeld held;
-    held.claim = id;
-    held.service = ServiceName(stringMember(value, "service"));
-    const auto memory = readNeed(value);
+    ReservationReport reservation;
+    reservation.claim = id;
+    reservation.service = ServiceName(stringMember(value, "service"));
+    const auto memory = readMemoryNeed(value);
     if (!memory) {
         return std::nullopt;
     }
-    held.memory = *memory;
-    held.decodeServer = ServerName(stringMember(value, "decode"));
-    held.lasts = durationMember(value, "lasts_us");
+    reservation.memory = *memory;
+    reservation.decodeServer = ServerName(stringMember(value, "decode"));
+    reservation.maxDuration = durationMember(value, "lasts_us");
     if (value["decoding_us"].isInt64()) {
-        held.decodingFor = Duration(value["decoding_us"].asInt64());
+        reservation.elapsedDecodeTime = Duration(value["decoding_us"].asInt64());
     }
-    return held;
+    return reservation;
 }
 
 std::optional<ToScheduler> readEnded(const Json::Value &value, ClaimId id)
 {
     const std::uint64_t how = numberMember(value, "how");
-    const std::uint64_t made = numberMember(value, "made");
-    if (how > static_cast<unsigned>(ClaimEnd::HandleLost) || made > MostTokens) {
+    const std::uint64_t generated = numberMember(value, "made");
+    if (how > static_cast<unsigned>(ClaimOutcome::KvCacheLost) || generated > MaxTokens) {
         return std::nullopt;
     }
-    return ClaimEnded {id, static_cast<ClaimEnd>(how), made};
+    return ClaimEnded {id, static_cast<ClaimOutcome>(how), generated};
 }
 
-std::optional<ToScheduler> readChanging(const Json::Value &value)
+std::optional<ToScheduler> readPhaseChange(const Json::Value &value)
 {
     const bool toPrefill = stringMember(value, "to") == "prefill";
-    EngineChanging changing {ServerName(stringMember(value, "server")),
-                             toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
-                             durationMember(value, "lasts_us"),
-                             value["accepted"].isBool() && value["accepted"].asBool()};
-    const bool isUsable = !changing.server.isEmpty() && changing.lasts >= Duration(0)
-        && changing.lasts <= LongestChange;
-    return isUsable ? std::optional<ToScheduler>(std::move(changing)) : std::nullopt;
+    PhaseChangeNotice notice {ServerName(stringMember(value, "server")),
+                              toPrefill ? EnginePhase::Prefill : EnginePhase::Decode,
+                              durationMember(value, "lasts_us"),
+                              value["accepted"].isBool() && value["accepted"].asBool()};
+    const bool isValid = !notice.server.isEmpty() && notice.maxDuration >= Duration(0)
+        && notice.maxDuration <= MaxPhaseChangeDuration;
+    return isValid ? std::optional<ToScheduler>(std::move(notice)) : std::nullopt;
 }
 
 std::optional<ToScheduler> readToScheduler(const Json::Value &value)
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "changing") {
-        return readChanging(value);
+        return readPhaseChange(value);
     }
     if (kind == "work_asked") {
-        WorkAsked asked {ServiceName(stringMember(value, "service"))};
-        return asked.service.isEmpty() ? std::nullopt
-                                       : std::optional<ToScheduler>(std::move(asked));
+        WorkQuery query {ServiceName(stringMember(value, "service"))};
+        return query.service.isEmpty() ? std::nullopt
+                                       : std::optional<ToScheduler>(std::move(query));
     }
     const ClaimId id(numberMember(value, "claim"));
     if (id.isNone()) {
@@ -252,7 +253,7 @@
         return readClaim(value, id);
     }
     if (kind == "held") {
-        return readHeld(value, id);
+        return readReservation(value, id);
     }
     if (kind == "prefilled" && value["done"].isBool() && value["reachable"].isBool()) {
         return PrefillEnded {id, value["done"].asBool(), value["reachable"].asBool()};
@@ -270,21 +271,21 @@
                                                                   : std::nullopt;
 }
 
-std::optional<FromScheduler> readTold(const Json::Value &value)
+std::optional<FromScheduler> readWorkReport(const Json::Value &value)
 {
     const auto work = readWork(value);
     ServiceName service(stringMember(value, "service"));
     if (!work || service.isEmpty()) {
         return std::nullopt;
     }
-    return WorkTold {std::move(service), *work};
+    return WorkReport {std::move(service), *work};
 }
 
 std::optional<FromScheduler> readFromScheduler(const Json::Value &value)
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "work") {
-        return readTold(value);
+        return readWorkReport(value);
     }
     const ClaimId id(numberMember(value, "claim"));
     if (id.isNone()) {
@@ -306,15 +307,15 @@
 }
 
 template <typename Message>
-std::string encodeAny(const Datagram<Message> &datagram)
+std::string encodeDatagram(const Datagram<Message> &datagram)
 {
-    return jsonText(
-        std::visit([&](const auto &one) { return body(datagram.from, one); }, datagram.message));
+    return jsonText(std::visit([&](const auto &member) { return body(datagram.from, member); },
+                               datagram.message));
 }
 
 template <typename Message>
-std::optional<Datagram<Message>> readAny(const Json::Value &value,
-                                         std::optional<Message> (*read)(const Json::Value &))
+std::optional<Datagram<Message>> readDatagram(const Json::Value &value,
+                                              std::optional<Message> (*read)(const Json::Value &))
 {
     const auto from = senderOf(value);
     auto message = from ? read(value) : std::nullopt;
@@ -328,12 +329,12 @@
 
 std::string encode(const Datagram<ToScheduler> &datagram)
 {
-    return encodeAny(datagram);
+    return encodeDatagram(datagram);
 }
 
 std::string encode(const Datagram<FromScheduler> &datagram)
 {
-    return encodeAny(datagram);
+    return encodeDatagram(datagram);
 }
 
 std::optional<Datagram<ToScheduler>> decodeToScheduler(const std::string &text)
@@ -348,12 +349,12 @@
 
 std::optional<Datagram<ToScheduler>> readDatagramToScheduler(const Json::Value &value)
 {
-    return readAny<ToScheduler>(value, &readToScheduler);
+    return readDatagram<ToScheduler>(value, &readToScheduler);
 }
 
 std::optional<Datagram<FromScheduler>> readDatagramFromScheduler(const Json::Value &value)
 {
-    return readAny<FromScheduler>(value, &readFromScheduler);
+    return readDatagram<FromScheduler>(value, &readFromScheduler);
 }
 
 } // namespace indigoway::scheduling
--- a/tests/dispatch/generationlimitstest.cpp
+++ b/tests/dispatch/generationlimitstest.cpp
@@ -41,12 +41,12 @@
     {
         ArrivedRequest arrival;
         arrival.promptTokens = 1'000;
-        arrival.mostOutputTokens = 600;
+        arrival.maxOutputTokens = 600;
         arrival.likelyOutputTokens = 500;
         const auto need = memoryNeedOf(arrival);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {500}, need.outputTokens);
         CPPUNIT_ASSERT_EQUAL(need.contextTokens + 600, unscheduledReservation(arrival, need));
-        CPPUNIT_ASSERT(initialReservation(need) < need.whole());
+        CPPUNIT_ASSERT(initialReservation(need) < need.totalTokens());
         arrival.likelyOutputTokens = 9'000;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {600}, memoryNeedOf(arrival).outputTokens);
     }
