--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -2,20 +2,20 @@
 
 namespace indigoway {
 
-bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> mostCopyAge)
+bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge)
 {
-    return !mostCopyAge || (copyAge && *copyAge <= *mostCopyAge);
+    return !maxCopyAge || (copyAge && *copyAge <= *maxCopyAge);
 }
 
 Admission admit(const RouteTable &table, const Route &route, const Credentials &credentials,
-                std::optional<Duration> copyAge, std::optional<Duration> mostCopyAge)
+                std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge)
 {
     const Organisation *organisation =
         credentials.key ? table.organisationWith(*credentials.key) : nullptr;
     if (route.isOpen || !table.wantsKeys()) {
         return Admitted {organisation};
     }
-    if (!isNewEnough(copyAge, mostCopyAge)) {
+    if (!isNewEnough(copyAge, maxCopyAge)) {
         return CopyTooOld {};
     }
     if (!organisation) {
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -7,25 +7,26 @@
 
 namespace indigoway {
 
-/** What a caller shows to be served for an organisation. */
+/** The credentials that a caller has sent. */
 struct Credentials
 {
-    /** Of the key; of no text at all where what was sent cannot be one. */
+    /** Digest of the API key, or of the empty string if it is malformed; nothing if none was sent.
+     */
     std::optional<KeyDigest> key;
 };
 
-/** Whose request it is; null on an open route, if no known key came with it. */
+/** The request is admitted for an organisation; null on an open route without a known key. */
 struct Admitted
 {
     const Organisation *organisation = nullptr;
 };
 
-/** No organisation holds the key, or there was none. */
+/** No organisation has the key, or none was sent. */
 struct UnknownKey
 {
 };
 
-/** This node cannot prove that its copy of the desired state is new enough to tell. */
+/** This node's copy of the configuration may be too stale to decide. */
 struct CopyTooOld
 {
 };
@@ -33,18 +34,19 @@
 using Admission = std::variant<Admitted, UnknownKey, CopyTooOld>;
 
 /**
- * Whether a request on @p route of @p table may be served for who sent it.
+ * Decides whether a request on @p route may be served.
  *
- * A key that was taken away must be of no use on any node after a bounded time, also on one that
- * has lost the store, was suspended, or hears old news. So nothing is decided by a copy of the
- * desired state that may be older than @p mostCopyAge (nothing: any copy will do): neither that a
- * key is good, nor that it is not, since it may have been added meanwhile. @p copyAge: how old the
- * copy may be by now; nothing: not known.
+ * A revoked key must stop working on all nodes within a bounded time, including nodes that have
+ * lost the store or were suspended. So a copy of the configuration that may be older than @p
+ * maxCopyAge neither accepts nor rejects a key, which may have been added meanwhile.
+ *
+ * @param copyAge the staleness of the copy; nothing if unknown
+ * @param maxCopyAge the maximum staleness; nothing if unlimited
  */
 Admission admit(const RouteTable &table, const Route &route, const Credentials &credentials,
-                std::optional<Duration> copyAge, std::optional<Duration> mostCopyAge);
+                std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge);
 
-/** Whether a copy of @p copyAge tells how things are. */
-bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> mostCopyAge);
+/** Returns true if the staleness @p copyAge is within @p maxCopyAge. */
+bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge);
 
 } // namespace indigoway
--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr Duration RetryAfter = std::chrono::milliseconds(250);
-/** Up to four seconds: each call to a store that is away is paid for, too. */
-constexpr std::uint32_t MostDoublings = 4;
-/** An id of another writer's making may have any length. */
-constexpr std::size_t LongestContent = 64;
+constexpr Duration FirstRetryDelay = std::chrono::milliseconds(250);
+/** Limits the retry delay to four seconds. */
+constexpr std::uint32_t MaxRetryDoublings = 4;
+/** The maximum length of a content id; keys written by others are not trusted. */
+constexpr std::size_t MaxContentIdLength = 64;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     const bool hasDigit = slash != std::string::npos && slash + 2 == key.size()
         && key[slash + 1] >= '0' && key[slash + 1] <= '9';
     const std::size_t length = hasDigit ? slash - prefix.size() : 0;
-    if (length == 0 || length > LongestContent) {
+    if (length == 0 || length > MaxContentIdLength) {
         return std::nullopt;
     }
     return CrashNote {ContentId(key.substr(prefix.size(), length)),
@@ -38,67 +38,67 @@
 void CrashPublisher::add(const CrashNote &note)
 {
     if (note.count == 0) {
-        // Written after the answer, an earlier crash would count as one that came after it.
-        const auto first = m_waiting.begin() + static_cast<std::ptrdiff_t>(m_writing);
-        m_waiting.erase(
-            std::remove_if(first, m_waiting.end(),
+        // A queued crash would be written after this reset and count as a newer crash.
+        const auto first = m_queue.begin() + static_cast<std::ptrdiff_t>(m_inFlightCount);
+        m_queue.erase(
+            std::remove_if(first, m_queue.end(),
                            [&](const CrashNote &one) { return one.content == note.content; }),
-            m_waiting.end());
+            m_queue.end());
     }
-    const bool isWaiting = std::find(m_waiting.begin(), m_waiting.end(), note) != m_waiting.end();
-    if (!isWaiting && m_waiting.size() < MostWaiting) {
-        m_waiting.push_back(note);
+    const bool isQueued = std::find(m_queue.begin(), m_queue.end(), note) != m_queue.end();
+    if (!isQueued && m_queue.size() < MaxQueuedNotes) {
+        m_queue.push_back(note);
     }
 }
 
 std::optional<PublisherCall> CrashPublisher::nextCall(TimePoint now)
 {
-    if (m_isCalling || m_waiting.empty() || now < m_nextAt) {
+    if (m_isCallInFlight || m_queue.empty() || now < m_nextCallAt) {
         return std::nullopt;
     }
-    m_isCalling = true;
-    if (m_lease.isNone() || now > m_leaseAt + LeaseUsedFor) {
-        m_leaseAt = now;
+    m_isCallInFlight = true;
+    if (m_lease.isNone() || now > m_leaseRequestedAt + LeaseRotationInterval) {
+        m_leaseRequestedAt = now;
         return GrantNoteLeaseCall {};
     }
-    m_writing = std::min(m_waiting.size(), MostAtOnce);
-    const auto end = m_waiting.begin() + static_cast<std::ptrdiff_t>(m_writing);
-    return WriteNotesCall {m_lease, {m_waiting.begin(), end}};
+    m_inFlightCount = std::min(m_queue.size(), MaxBatchSize);
+    const auto end = m_queue.begin() + static_cast<std::ptrdiff_t>(m_inFlightCount);
+    return WriteNotesCall {m_lease, {m_queue.begin(), end}};
 }
 
 void CrashPublisher::leaseGranted(TimePoint now, StoreLease lease)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
     m_lease = lease;
-    m_nextAt = now;
+    m_nextCallAt = now;
 }
 
 void CrashPublisher::written(TimePoint now)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
-    m_nextAt = now;
-    m_waiting.erase(m_waiting.begin(),
-                    m_waiting.begin() + static_cast<std::ptrdiff_t>(std::exchange(m_writing, 0)));
+    m_nextCallAt = now;
+    m_queue.erase(m_queue.begin(),
+                  m_queue.begin() + static_cast<std::ptrdiff_t>(std::exchange(m_inFlightCount, 0)));
 }
 
 void CrashPublisher::failed(TimePoint now, StoreFault fault)
 {
-    m_isCalling = false;
-    m_writing = 0;
-    m_nextAt = now + RetryAfter * (1 << std::min(m_failures, MostDoublings));
+    m_isCallInFlight = false;
+    m_inFlightCount = 0;
+    m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
     ++m_failures;
     if (fault == StoreFault::NoLease) {
         m_lease = {};
-        m_nextAt = now;
+        m_nextCallAt = now;
     }
 }
 
 void CrashPublisher::storeIsBack(TimePoint now)
 {
     m_failures = 0;
-    m_nextAt = std::min(m_nextAt, now);
+    m_nextCallAt = std::min(m_nextCallAt, now);
 }
 
 } // namespace indigoway
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -13,9 +13,12 @@
 
 namespace indigoway {
 
-/** The store's key of @p note. One key for each count, so that nodes never overwrite each other. */
+/**
+ * Returns the store key of @p note. Each count has its own key, so nodes never overwrite each
+ * other.
+ */
 std::string crashKey(const std::string &prefix, const CrashNote &note);
-/** Nothing if @p key is none of these. */
+/** Parses a key made by crashKey(); returns nothing for any other key. */
 std::optional<CrashNote> crashNoteIn(const std::string &prefix, const std::string &key);
 
 struct GrantNoteLeaseCall
@@ -29,39 +32,41 @@
 using PublisherCall = std::variant<GrantNoteLeaseCall, WriteNotesCall>;
 
 /**
- * Writes what this node has seen of crashes to the store: the other nodes hear of it by their
- * copies, and so does one that starts later, also after the end of this one. The notes are under a
- * lease that is never renewed, and so vanish by themselves.
+ * Publishes the crashes that this node has observed to the store, so that other nodes learn of
+ * them, including nodes that start after this one has ended. The notes are written under a lease
+ * that is never renewed, so they expire without cleanup.
  */
 class CrashPublisher
 {
 public:
     static constexpr Duration LeaseLifetime = std::chrono::minutes(10);
-    /** Then notes are written under another lease: each lasts eight minutes or more. */
-    static constexpr Duration LeaseUsedFor = std::chrono::minutes(2);
-    /** The store takes so many items in one call. */
-    static constexpr std::size_t MostAtOnce = 32;
-    /** While the store is away. This node goes by what it has seen in any case. */
-    static constexpr std::size_t MostWaiting = 256;
+    /** After this time a new lease is granted, so each note lives for at least eight minutes. */
+    static constexpr Duration LeaseRotationInterval = std::chrono::minutes(2);
+    /** The maximum number of items in one store transaction. */
+    static constexpr std::size_t MaxBatchSize = 32;
+    /**
+     * The maximum number of queued notes while the store is unreachable; further notes are dropped.
+     */
+    static constexpr std::size_t MaxQueuedNotes = 256;
 
     void add(const CrashNote &note);
-    /** What to ask the store now; nothing while a call is under way or nothing is due. */
+    /** Returns the next call to the store, or nothing while a call is in flight or none is due. */
     std::optional<PublisherCall> nextCall(TimePoint now);
     void leaseGranted(TimePoint now, StoreLease lease);
     void written(TimePoint now);
     void failed(TimePoint now, StoreFault fault);
-    /** The store answers again: what failed is due now. */
+    /** Makes failed calls due at once when the store has become reachable again. */
     void storeIsBack(TimePoint now);
-    std::size_t waiting() const { return m_waiting.size(); }
+    std::size_t waiting() const { return m_queue.size(); }
 
 private:
-    std::deque<CrashNote> m_waiting;
-    std::size_t m_writing = 0; ///< The first so many of them.
-    bool m_isCalling = false;
+    std::deque<CrashNote> m_queue;
+    std::size_t m_inFlightCount = 0; ///< Number of notes at the front that are being written.
+    bool m_isCallInFlight = false;
     StoreLease m_lease;
-    TimePoint m_leaseAt {};
-    TimePoint m_nextAt {};
-    std::uint32_t m_failures = 0; ///< In a row.
+    TimePoint m_leaseRequestedAt {};
+    TimePoint m_nextCallAt {};
+    std::uint32_t m_failures = 0; ///< Consecutive failed calls.
 };
 
 } // namespace indigoway
--- a/src/fleet/leadership.cpp
+++ b/src/fleet/leadership.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Duration AskAgainAfter = std::chrono::milliseconds(1000);
+constexpr Duration RetryInterval = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -14,41 +14,42 @@
 
 void Leadership::holderSeen(const std::string *life, std::uint64_t revision, TimePoint now)
 {
-    m_isHeld = life != nullptr;
-    m_isMine = life && *life == m_life;
-    if (!m_isMine) {
+    m_hasHolder = life != nullptr;
+    m_isHolder = life && *life == m_life;
+    if (!m_isHolder) {
         return;
     }
     m_revision = revision;
-    m_mineSince = now;
+    m_holderSince = now;
 }
 
 bool Leadership::shouldAcquire(TimePoint now)
 {
-    if (m_isHeld || (m_askedAt != TimePoint {} && now < m_askedAt + AskAgainAfter)) {
+    if (m_hasHolder
+        || (m_acquireRequestedAt != TimePoint {} && now < m_acquireRequestedAt + RetryInterval)) {
         return false;
     }
-    m_askedAt = now;
+    m_acquireRequestedAt = now;
     return true;
 }
 
 bool Leadership::shouldRecord(TimePoint now)
 {
-    if (!m_isMine || m_recordAt != 0
-        || (m_recordAskedAt != TimePoint {} && now < m_recordAskedAt + AskAgainAfter)) {
+    if (!m_isHolder || m_recordRevision != 0
+        || (m_recordRequestedAt != TimePoint {} && now < m_recordRequestedAt + RetryInterval)) {
         return false;
     }
-    m_recordAskedAt = now;
+    m_recordRequestedAt = now;
     return true;
 }
 
 std::optional<std::uint64_t> Leadership::token(TimePoint now, TimePoint renewedAt) const
 {
-    if (!m_isMine || m_recordAt == 0 || now > renewedAt + ActsAfterRenewal
-        || renewedAt <= m_stoodStillAt) {
+    if (!m_isHolder || m_recordRevision == 0 || now > renewedAt + RenewalValidity
+        || renewedAt <= m_renewalRequiredSince) {
         return std::nullopt;
     }
-    if (m_recordAt < m_revision && now < m_mineSince + WaitBeforeActing) {
+    if (m_recordRevision < m_revision && now < m_holderSince + TakeoverDelay) {
         return std::nullopt;
     }
     return m_revision;
--- a/src/fleet/leadership.h
+++ b/src/fleet/leadership.h
@@ -8,66 +8,77 @@
 namespace indigoway {
 
 /**
- * Whether this node may give orders to engines. The right is an item in the store, under the
+ * Decides whether this node may give orders to engines. The right is an item in the store under the
  * lease of the node's own entry; the item's revision is the fencing token. Engines that do not
- * check tokens would follow two nodes by turns, so a holder acts only while it surely holds the
- * right, and a new one waits until the one before has surely stopped.
+ * check tokens would obey two nodes alternately, so a holder acts only while its lease is certainly
+ * valid, and a new holder waits until the previous one has certainly stopped.
  */
 class Leadership
 {
 public:
     /**
-     * A holder whose last renewal is older acts no more; with the lease's three seconds there is
-     * time to stop before another node can take the right.
+     * The time after the last renewal for which a holder may act. It is shorter than the lease
+     * lifetime of three seconds, so the holder stops before another node can acquire the right.
      */
-    static constexpr Duration ActsAfterRenewal = std::chrono::milliseconds(1500);
+    static constexpr Duration RenewalValidity = std::chrono::milliseconds(1500);
     /**
-     * A new holder's wait: the right may have been taken away from one that had just renewed and
-     * acts on for that time, and orders of two holders must be three seconds apart.
+     * The delay before a new holder acts. The previous holder may act for RenewalValidity after it
+     * has lost the right, and orders of two holders must be at least three seconds apart.
      */
-    static constexpr Duration WaitBeforeActing = std::chrono::milliseconds(6000);
+    static constexpr Duration TakeoverDelay = std::chrono::milliseconds(6000);
 
-    /** @p life names this node's life: a restarted process does not hold what it held before. */
+    /** @param life identifies this process; a restarted process does not inherit the right. */
     explicit Leadership(std::string life);
 
     const std::string &life() const { return m_life; }
-    /** The store's item as this node's copy has it; null: nobody holds the right. */
+    /**
+     * Handles a change of the store's item.
+     * @param life the holder's identity, or null if no node holds the right
+     * @param revision the item's revision
+     */
     void holderSeen(const std::string *life, std::uint64_t revision, TimePoint now);
     /**
-     * Some node has been about to give orders since @p revision: one that held the right then may
-     * still act. The order in which this and holderSeen() are told does not matter; news that come
-     * from another node are not in the order in which the store was written.
+     * Handles the record that some node was about to give orders at @p revision; the node that held
+     * the right then may still be acting. This and holderSeen() may be called in any order, since
+     * changes that arrive through another node are not in the order of the store's revisions.
      */
-    void recordSeen(std::uint64_t revision) { m_recordAt = revision; }
-    bool isHeldByThis() const { return m_isMine; }
-    /** Of the item that gives this node the right. */
+    void recordSeen(std::uint64_t revision) { m_recordRevision = revision; }
+    bool isHeldByThis() const { return m_isHolder; }
+    /** Returns the revision of the item that gives this node the right. */
     std::uint64_t revision() const { return m_revision; }
     /**
-     * Whether to write the record now, under the condition that the right is still this node's and
-     * there is no record: it is about to give the first order of all. A right that changes hands
-     * before that costs the next holder no wait. At most once a second.
+     * Returns true at most once a second, if this node holds the right and no record exists yet.
+     * The record must be written before the first order, on condition that this node still holds
+     * the right. If the right changes hands before that, the next holder need not wait.
      */
     bool shouldRecord(TimePoint now);
-    /** Whether to ask the store for the right now. At most once a second. */
+    /**
+     * Returns true at most once a second, if no node holds the right and this one should request
+     * it.
+     */
     bool shouldAcquire(TimePoint now);
     /**
-     * The fencing token with which this node may act now; nothing if it may not. @p renewedAt:
-     * when the renewal was asked for that the store answered last.
+     * Returns the fencing token if this node may act now, otherwise nothing.
+     * @param renewedAt the time when the last successful lease renewal was requested
      */
     std::optional<std::uint64_t> token(TimePoint now, TimePoint renewedAt) const;
-    /** This process stood still: what it knew is old. It acts again after a new renewal. */
-    void stoodStill(TimePoint now) { m_stoodStillAt = now; }
+    /**
+     * Handles a suspension of the process: cached state may be stale, so this node does not act
+     * until its lease is renewed again.
+     */
+    void stoodStill(TimePoint now) { m_renewalRequiredSince = now; }
 
 private:
     std::string m_life;
-    bool m_isHeld = false; ///< By any node.
-    bool m_isMine = false;
+    bool m_hasHolder = false; ///< True if any node holds the right.
+    bool m_isHolder = false;
     std::uint64_t m_revision = 0;
-    TimePoint m_mineSince {};
-    std::uint64_t m_recordAt = 0; ///< It is written once; 0: not yet.
-    TimePoint m_askedAt {};
-    TimePoint m_recordAskedAt {};
-    TimePoint m_stoodStillAt {};
+    TimePoint m_holderSince {};
+    /** Revision of the record, which is written only once; 0 if there is none yet. */
+    std::uint64_t m_recordRevision = 0;
+    TimePoint m_acquireRequestedAt {};
+    TimePoint m_recordRequestedAt {};
+    TimePoint m_renewalRequiredSince {};
 };
 
 } // namespace indigoway
--- a/src/fleet/nodeannouncer.cpp
+++ b/src/fleet/nodeannouncer.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/** Renewals within a lease's lifetime, with a little time left for the last one's answer. */
-constexpr double RenewalsInLifetime = 3.75;
-/** Of the fleet's nodes in turn: all renewals together are some 250 a second, however many. */
-constexpr Duration LifetimeForNode = std::chrono::milliseconds(15);
-/** A lease is moved where it is so many times as short, or as long, as it should be. */
-constexpr int MoveAt = 2;
-constexpr Duration RetryAfter = std::chrono::milliseconds(250);
+/** Renewals per lease lifetime; the fraction leaves time for the answer to the last one. */
+constexpr double RenewalsPerLifetime = 3.75;
 /**
- * Doubled up to two seconds: a store that is away, or turns this node away, answers none of the
- * calls, and each is paid for.
+ * Lease lifetime per node of the fleet; it bounds the renewals of all nodes to about 250 per
+ * second.
  */
-constexpr std::uint32_t MostDoublings = 3;
+constexpr Duration LifetimePerNode = std::chrono::milliseconds(15);
+/** Factor by which the lifetimes of the current and the target lease must differ to replace it. */
+constexpr int ReplacementFactor = 2;
+constexpr Duration FirstRetryDelay = std::chrono::milliseconds(250);
+/** Limits the retry delay to two seconds. */
+constexpr std::uint32_t MaxRetryDoublings = 3;
 
 } // namespace
 
 Duration NodeAnnouncer::lifetimeFor(std::size_t nodes)
 {
-    return std::max(LeastLifetime, LifetimeForNode * static_cast<Duration::rep>(nodes));
+    return std::max(LeastLifetime, LifetimePerNode * static_cast<Duration::rep>(nodes));
 }
 
 std::optional<AnnouncerCall> NodeAnnouncer::nextCall(TimePoint now)
 {
-    if (m_isCalling || m_isLeaving || now < m_nextAt) {
+    if (m_isCallInFlight || m_isLeaving || now < m_nextCallAt) {
         return std::nullopt;
     }
-    m_isCalling = true;
-    m_askedAt = now;
-    // The lease that is left ends by itself, with nothing under it.
-    if (m_lease.isNone() || (m_isWritten && shouldMove())) {
-        return GrantLeaseCall {m_wanted};
+    m_isCallInFlight = true;
+    m_callStartedAt = now;
+    // A replaced lease expires on its own; no item is attached to it any more.
+    if (m_lease.isNone() || (m_isEntryWritten && shouldReplaceLease())) {
+        return GrantLeaseCall {m_targetLifetime};
     }
-    if (!m_isWritten) {
+    if (!m_isEntryWritten) {
         return PutEntryCall {m_lease};
     }
     return RenewLeaseCall {m_lease};
@@ -45,41 +45,41 @@
 
 void NodeAnnouncer::leaseGranted(TimePoint now, const GrantedLease &granted)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
     m_lease = granted.lease;
     m_lifetime = granted.lifetime;
-    m_renewedAt = m_askedAt;
-    m_isWritten = false;
-    m_nextAt = now;
+    m_renewedAt = m_callStartedAt;
+    m_isEntryWritten = false;
+    m_nextCallAt = now;
 }
 
 void NodeAnnouncer::entryWritten(TimePoint now)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
-    m_isWritten = true;
-    m_nextAt = now + renewEvery();
+    m_isEntryWritten = true;
+    m_nextCallAt = now + renewalInterval();
 }
 
 void NodeAnnouncer::leaseRenewed(TimePoint now)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
-    m_renewedAt = m_askedAt;
-    m_nextAt = m_isWritten ? now + renewEvery() : now;
+    m_renewedAt = m_callStartedAt;
+    m_nextCallAt = m_isEntryWritten ? now + renewalInterval() : now;
 }
 
 void NodeAnnouncer::failed(TimePoint now, StoreFault fault)
 {
-    m_isCalling = false;
-    m_nextAt = now + RetryAfter * (1 << std::min(m_failures, MostDoublings));
+    m_isCallInFlight = false;
+    m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
     ++m_failures;
     if (fault == StoreFault::NoLease) {
         m_lease = {};
-        m_isWritten = false;
-        m_nextAt = now;
-        m_failures = 0; // It answers.
+        m_isEntryWritten = false;
+        m_nextCallAt = now;
+        m_failures = 0; // The store is reachable.
     }
 }
 
@@ -87,24 +87,25 @@
 {
     if (m_failures > 0) {
         m_failures = 0;
-        m_nextAt = std::min(m_nextAt, now);
+        m_nextCallAt = std::min(m_nextCallAt, now);
     }
 }
 
 void NodeAnnouncer::entryVanished()
 {
-    m_isWritten = false;
-    m_nextAt = {};
+    m_isEntryWritten = false;
+    m_nextCallAt = {};
 }
 
-bool NodeAnnouncer::shouldMove() const
+bool NodeAnnouncer::shouldReplaceLease() const
 {
-    return m_wanted >= m_lifetime * MoveAt || m_lifetime >= m_wanted * MoveAt;
+    return m_targetLifetime >= m_lifetime * ReplacementFactor
+        || m_lifetime >= m_targetLifetime * ReplacementFactor;
 }
 
-Duration NodeAnnouncer::renewEvery() const
+Duration NodeAnnouncer::renewalInterval() const
 {
-    return std::chrono::duration_cast<Duration>(m_lifetime / RenewalsInLifetime);
+    return std::chrono::duration_cast<Duration>(m_lifetime / RenewalsPerLifetime);
 }
 
 StoreLease NodeAnnouncer::leave()
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -24,56 +24,62 @@
 using AnnouncerCall = std::variant<GrantLeaseCall, PutEntryCall, RenewLeaseCall>;
 
 /**
- * Keeps this node's entry in the store: under a lease, so that the entry of a node that dies
- * vanishes, and written again whenever the lease or the entry was lost while the node is well.
+ * Keeps this node's entry in the store. The entry is attached to a lease, so it is removed when the
+ * node fails; it is written again if the lease or the entry is lost while the node runs.
  *
- * Renewals are calls that are paid for. In a large fleet each node renews the less often, so that
- * all of them together renew as often as a smaller one: there a node that has gone is found by the
- * few that turn to it, long before its lease ends. Nodes that all rely on keep a short lease.
+ * Each renewal is a billed call, so the lease lifetime grows with the fleet and the total renewal
+ * rate stays bounded. A failed node in a large fleet is detected by the nodes that connect to it
+ * long before its lease expires. Nodes that all others depend on keep a short lease.
  */
 class NodeAnnouncer
 {
 public:
-    /** Three renewals may fail before the entry vanishes. */
+    /** The shortest lease lifetime; it covers three failed renewals. */
     static constexpr Duration LeastLifetime = std::chrono::milliseconds(3000);
-    /** Of a lease in a fleet of @p nodes. */
+    /** Returns the lease lifetime for a fleet of @p nodes. */
     static Duration lifetimeFor(std::size_t nodes);
 
-    /** The lease is moved to another one where it has become far too short or too long. */
-    void setWanted(Duration lifetime) { m_wanted = lifetime; }
-    /** What to ask the store now; nothing while a call is under way or nothing is due. */
+    /**
+     * Sets the target lifetime. The lease is replaced if its lifetime differs from the target by a
+     * factor of two or more.
+     */
+    void setWanted(Duration lifetime) { m_targetLifetime = lifetime; }
+    /** Returns the next call to the store, or nothing while a call is in flight or none is due. */
     std::optional<AnnouncerCall> nextCall(TimePoint now);
 
     void leaseGranted(TimePoint now, const GrantedLease &granted);
     void entryWritten(TimePoint now);
     void leaseRenewed(TimePoint now);
     void failed(TimePoint now, StoreFault fault);
-    /** The store answers again, as this node or another one has seen: what failed is due now. */
+    /** Makes a failed call due at once when this or another node has reached the store again. */
     void storeIsBack(TimePoint now);
-    /** The entry was seen to vanish, though this node has not ended its lease. */
+    /** Handles the removal of the entry while this node has not revoked its lease. */
     void entryVanished();
-    /** The node leaves: nothing is written any more. The lease to end, if there is one. */
+    /**
+     * Stops all further writes.
+     * @return the lease to revoke, or none
+     */
     StoreLease leave();
 
-    bool isAnnounced() const { return m_isWritten; }
-    /** None while there is no lease, or the node leaves. */
+    bool isAnnounced() const { return m_isEntryWritten; }
+    /** Returns the current lease; none before the first grant and after leave(). */
     StoreLease lease() const { return m_isLeaving ? StoreLease() : m_lease; }
-    /** When the last renewal was asked for that the store has answered. */
+    /** Returns the time when the last successful renewal was requested. */
     TimePoint renewedAt() const { return m_renewedAt; }
 
 private:
-    bool shouldMove() const;
-    Duration renewEvery() const;
+    bool shouldReplaceLease() const;
+    Duration renewalInterval() const;
 
-    bool m_isCalling = false;
+    bool m_isCallInFlight = false;
     bool m_isLeaving = false;
     StoreLease m_lease;
-    Duration m_lifetime = LeastLifetime; ///< Of m_lease.
-    Duration m_wanted = LeastLifetime;
-    bool m_isWritten = false;
-    TimePoint m_nextAt {};
-    std::uint32_t m_failures = 0; ///< In a row.
-    TimePoint m_askedAt {};
+    Duration m_lifetime = LeastLifetime; ///< Lifetime of m_lease.
+    Duration m_targetLifetime = LeastLifetime;
+    bool m_isEntryWritten = false;
+    TimePoint m_nextCallAt {};
+    std::uint32_t m_failures = 0; ///< Consecutive failed calls.
+    TimePoint m_callStartedAt {};
     TimePoint m_renewedAt {};
 };
 
--- a/src/fleet/noderoster.cpp
+++ b/src/fleet/noderoster.cpp
@@ -47,34 +47,35 @@
 
 void NodeRoster::announce(const std::string &key, NodeEntry entry)
 {
-    Known &known = m_nodes[key];
-    dropRank(known.entry);
-    known = {std::move(entry), std::nullopt};
-    m_domains[known.entry.domain][{known.entry.processors, known.entry.name}] = &known.entry;
+    TrackedNode &tracked = m_nodes[key];
+    removeFromDomain(tracked.entry);
+    tracked = {std::move(entry), std::nullopt};
+    m_domains[tracked.entry.domain][{tracked.entry.processors, tracked.entry.name}] =
+        &tracked.entry;
 }
 
 void NodeRoster::withdraw(const std::string &key, TimePoint now)
 {
     const auto it = m_nodes.find(key);
-    if (it != m_nodes.end() && !it->second.vanishedAt) {
-        it->second.vanishedAt = now;
-        m_vanished.push_back({key, now});
+    if (it != m_nodes.end() && !it->second.withdrawnAt) {
+        it->second.withdrawnAt = now;
+        m_withdrawn.push_back({key, now});
     }
 }
 
 void NodeRoster::forgetVanished(TimePoint now)
 {
-    while (!m_vanished.empty() && now >= m_vanished.front().at + VanishedKept) {
-        const auto it = m_nodes.find(m_vanished.front().key);
-        if (it != m_nodes.end() && !isPresent(it->second, now)) {
-            dropRank(it->second.entry);
+    while (!m_withdrawn.empty() && now >= m_withdrawn.front().at + RetentionTime) {
+        const auto it = m_nodes.find(m_withdrawn.front().key);
+        if (it != m_nodes.end() && !isRetained(it->second, now)) {
+            removeFromDomain(it->second.entry);
             m_nodes.erase(it);
         }
-        m_vanished.pop_front();
+        m_withdrawn.pop_front();
     }
 }
 
-void NodeRoster::dropRank(const NodeEntry &entry)
+void NodeRoster::removeFromDomain(const NodeEntry &entry)
 {
     const auto domain = m_domains.find(entry.domain);
     if (domain == m_domains.end()) {
@@ -86,13 +87,13 @@
     }
 }
 
-std::vector<std::string> NodeRoster::callerAddresses(TimePoint now, std::size_t most,
+std::vector<std::string> NodeRoster::callerAddresses(TimePoint now, std::size_t maxCount,
                                                      std::uint64_t entropy) const
 {
     std::vector<std::string> addresses;
-    for (const auto &[key, known] : m_nodes) {
-        if (known.entry.name != m_self.name && isPresent(known, now)) {
-            addresses.push_back(known.entry.callers);
+    for (const auto &[key, tracked] : m_nodes) {
+        if (tracked.entry.name != m_self.name && isRetained(tracked, now)) {
+            addresses.push_back(tracked.entry.callers);
         }
     }
     TurnRandom random(entropy);
@@ -100,8 +101,8 @@
     if (!m_isLeaving || addresses.empty()) {
         addresses.insert(addresses.begin(), m_self.callers);
     }
-    if (addresses.size() > most) {
-        addresses.resize(most);
+    if (addresses.size() > maxCount) {
+        addresses.resize(maxCount);
     }
     return addresses;
 }
@@ -110,13 +111,13 @@
 {
     std::vector<const NodeEntry *> members;
     members.reserve(m_nodes.size());
-    for (const auto &[key, known] : m_nodes) {
-        members.push_back(&known.entry);
+    for (const auto &[key, tracked] : m_nodes) {
+        members.push_back(&tracked.entry);
     }
     return members;
 }
 
-const RankedNodes &NodeRoster::inDomain(const DomainName &domain) const
+const RankedNodes &NodeRoster::nodesInDomain(const DomainName &domain) const
 {
     static const RankedNodes None;
     const auto it = m_domains.find(domain);
@@ -126,15 +127,15 @@
 std::uint32_t NodeRoster::count(TimePoint now) const
 {
     std::uint32_t others = 0;
-    for (const auto &[key, known] : m_nodes) {
-        others += known.entry.name != m_self.name && isPresent(known, now) ? 1 : 0;
+    for (const auto &[key, tracked] : m_nodes) {
+        others += tracked.entry.name != m_self.name && isRetained(tracked, now) ? 1 : 0;
     }
     return others + 1;
 }
 
-bool NodeRoster::isPresent(const Known &known, TimePoint now)
+bool NodeRoster::isRetained(const TrackedNode &tracked, TimePoint now)
 {
-    return !known.vanishedAt || now < *known.vanishedAt + VanishedKept;
+    return !tracked.withdrawnAt || now < *tracked.withdrawnAt + RetentionTime;
 }
 
 } // namespace indigoway
--- a/src/fleet/noderoster.h
+++ b/src/fleet/noderoster.h
@@ -12,26 +12,31 @@
 
 namespace indigoway {
 
-/** A node as it announced itself. */
+/** The entry that a node publishes in the store. */
 struct NodeEntry
 {
     NodeName name;
     DomainName domain;
     std::string callers;         ///< "IP:port" for callers.
-    std::string control;         ///< "IP:port" for the other nodes.
-    std::string scheduling = {}; ///< "IP:port" (UDP) for claims on engines; empty: none.
-    double processors = 0;       ///< Its VM's share; the node with the most schedules the engines.
-    // Revisions of the store; not part of what is announced.
-    std::uint64_t announcedSince = 0; ///< There without a gap, also over restarts of its process.
-    std::uint64_t announcedAt = 0;    ///< Of the latest announcement: each life makes its own.
+    std::string control;         ///< "IP:port" for other nodes.
+    std::string scheduling = {}; ///< "IP:port" (UDP) for claims on engines; empty if none.
+    /** CPU share of the VM; the node with the largest share schedules the engines. */
+    double processors = 0;
+    // Store revisions, not part of the encoded entry.
+    /** Revision since which the entry has existed continuously, across process restarts. */
+    std::uint64_t announcedSince = 0;
+    std::uint64_t announcedAt = 0; ///< Revision of the last write; each process writes its own.
     bool operator==(const NodeEntry &) const = default;
 };
 
 std::string encodeNodeEntry(const NodeEntry &entry);
-/** Nothing if @p text is no entry. */
+/** Parses an entry; returns nothing if @p text is invalid. */
 std::optional<NodeEntry> decodeNodeEntry(std::string_view text);
 
-/** Orders the nodes of a failure domain: who has most processor time, and so the widest link. */
+/**
+ * Orders the nodes of a failure domain by CPU share, largest first, then by name. The largest VM
+ * also has the most network bandwidth.
+ */
 struct NodeRank
 {
     double processors = 0;
@@ -39,61 +44,70 @@
     bool operator<(const NodeRank &other) const;
 };
 
-/** The nodes of a failure domain, the first in rank first. */
+/** The nodes of a failure domain in rank order. */
 using RankedNodes = std::map<NodeRank, const NodeEntry *>;
 
 /**
- * The nodes that serve callers. An entry that vanishes is kept for a moment: when the store has
- * been away, leases of healthy nodes lapse, and an empty list would send callers nowhere.
+ * Keeps the nodes that serve callers. A removed entry is retained for a short time, since leases of
+ * healthy nodes expire while the store is unreachable, and callers would otherwise get an empty
+ * list.
  */
 class NodeRoster
 {
 public:
-    static constexpr Duration VanishedKept = std::chrono::milliseconds(1200);
+    static constexpr Duration RetentionTime = std::chrono::milliseconds(1200);
 
     explicit NodeRoster(NodeEntry self);
 
-    /** This node's addresses are known once it listens. */
+    /** Sets this node's own entry; its addresses are known only after it listens. */
     void setSelf(NodeEntry self) { m_self = std::move(self); }
     void announce(const std::string &key, NodeEntry entry);
     void withdraw(const std::string &key, TimePoint now);
-    /** Drops the nodes whose moment is over; cheap where there are none. */
+    /** Removes the nodes whose retention time has passed. */
     void forgetVanished(TimePoint now);
-    /** This node asks callers to go elsewhere. */
+    /** Excludes this node from the addresses for callers. */
     void setLeaving() { m_isLeaving = true; }
-    /** Addresses for callers, at most @p most; this node's own unless it leaves. */
-    std::vector<std::string> callerAddresses(TimePoint now, std::size_t most,
+    /**
+     * Returns addresses for callers in random order, starting with this node's own unless it is
+     * leaving.
+     * @param most the maximum number of addresses
+     * @param entropy the seed of the random order
+     */
+    std::vector<std::string> callerAddresses(TimePoint now, std::size_t maxCount,
                                              std::uint64_t entropy) const;
-    /** The nodes that have announced themselves, this one included if it has; until a change. */
+    /**
+     * Returns the nodes that have an entry, including this one if it has; valid until the next
+     * change.
+     */
     std::vector<const NodeEntry *> members() const;
-    /** Those of them in @p domain. */
-    const RankedNodes &inDomain(const DomainName &domain) const;
-    /** Those that have announced themselves, until they are forgotten. */
+    /** Returns the nodes in @p domain. */
+    const RankedNodes &nodesInDomain(const DomainName &domain) const;
+    /** Returns the number of entries, including those removed but still retained. */
     std::size_t size() const { return m_nodes.size(); }
-    /** Nodes that serve callers, this one included. */
+    /** Returns the number of nodes that serve callers, including this one. */
     std::uint32_t count(TimePoint now) const;
 
 private:
-    struct Known
+    struct TrackedNode
     {
         NodeEntry entry;
-        std::optional<TimePoint> vanishedAt;
+        std::optional<TimePoint> withdrawnAt;
     };
 
-    struct Vanished
+    struct WithdrawnEntry
     {
         std::string key;
         TimePoint at {};
     };
 
-    static bool isPresent(const Known &known, TimePoint now);
-    void dropRank(const NodeEntry &entry);
+    static bool isRetained(const TrackedNode &tracked, TimePoint now);
+    void removeFromDomain(const NodeEntry &entry);
 
     NodeEntry m_self;
     bool m_isLeaving = false;
-    std::map<std::string, Known> m_nodes; ///< By key.
+    std::map<std::string, TrackedNode> m_nodes; ///< Nodes by store key.
     std::map<DomainName, RankedNodes> m_domains;
-    std::deque<Vanished> m_vanished; ///< Oldest first.
+    std::deque<WithdrawnEntry> m_withdrawn; ///< Removed entries, oldest first.
 };
 
 } // namespace indigoway
--- a/src/fleet/serverdirectory.cpp
+++ b/src/fleet/serverdirectory.cpp
@@ -17,20 +17,20 @@
         erase(m_entries.find(*earlier));
     }
     Entry &entry = m_entries[name];
-    unlist(entry.server);
+    removeFromIndexes(entry.server);
     m_byService[server.service][name] = &entry;
     m_byDomain[server.service][server.domain][name] = &entry;
     entry.server = std::move(server);
-    entry.vanishedAt.reset();
+    entry.withdrawnAt.reset();
     return earlier;
 }
 
 void ServerDirectory::withdraw(const ServerName &name, TimePoint now)
 {
     const auto it = m_entries.find(name);
-    if (it != m_entries.end() && !it->second.vanishedAt) {
-        it->second.vanishedAt = now;
-        m_vanished.push_back({name, now});
+    if (it != m_entries.end() && !it->second.withdrawnAt) {
+        it->second.withdrawnAt = now;
+        m_withdrawn.push_back({name, now});
     }
 }
 
@@ -41,19 +41,19 @@
 
 std::vector<ServerName> ServerDirectory::forgetVanished(TimePoint now)
 {
-    std::vector<ServerName> forgotten;
-    for (; !m_vanished.empty() && now >= m_vanished.front().at + VanishedKept;
-         m_vanished.pop_front()) {
-        const auto it = m_entries.find(m_vanished.front().name);
-        // It may have been back since, and gone once more.
-        const bool isOver = it != m_entries.end() && it->second.vanishedAt
-            && now >= *it->second.vanishedAt + VanishedKept;
-        if (isOver) {
-            forgotten.push_back(it->first);
+    std::vector<ServerName> removed;
+    for (; !m_withdrawn.empty() && now >= m_withdrawn.front().at + LastResortTime;
+         m_withdrawn.pop_front()) {
+        const auto it = m_entries.find(m_withdrawn.front().name);
+        // The entry may have been restored and removed again since.
+        const bool isExpired = it != m_entries.end() && it->second.withdrawnAt
+            && now >= *it->second.withdrawnAt + LastResortTime;
+        if (isExpired) {
+            removed.push_back(it->first);
             erase(it);
         }
     }
-    return forgotten;
+    return removed;
 }
 
 std::map<ServerName, ServerDirectory::Entry>::iterator
@@ -63,7 +63,7 @@
         return it;
     }
     const AnnouncedServer &server = it->second.server;
-    unlist(server);
+    removeFromIndexes(server);
     const auto instance = m_byInstance.find(server.instance);
     if (instance != m_byInstance.end() && instance->second == server.name) {
         m_byInstance.erase(instance);
@@ -71,7 +71,7 @@
     return m_entries.erase(it);
 }
 
-void ServerDirectory::unlist(const AnnouncedServer &server)
+void ServerDirectory::removeFromIndexes(const AnnouncedServer &server)
 {
     const auto service = m_byService.find(server.service);
     if (service == m_byService.end()) {
@@ -111,7 +111,7 @@
     return names;
 }
 
-std::size_t ServerDirectory::sizeOf(const ServiceName &service) const
+std::size_t ServerDirectory::serverCount(const ServiceName &service) const
 {
     const auto servers = m_byService.find(service);
     return servers == m_byService.end() ? 0 : servers->second.size();
@@ -172,10 +172,10 @@
     if (entry.server.isDraining) {
         return Standing::Leaving;
     }
-    if (!entry.vanishedAt) {
+    if (!entry.withdrawnAt) {
         return Standing::Usable;
     }
-    return now < *entry.vanishedAt + VanishedKept ? Standing::LastResort : Standing::Leaving;
+    return now < *entry.withdrawnAt + LastResortTime ? Standing::LastResort : Standing::Leaving;
 }
 
 } // namespace indigoway
--- a/src/fleet/serverdirectory.h
+++ b/src/fleet/serverdirectory.h
@@ -10,53 +10,64 @@
 
 namespace indigoway {
 
-/** What an announced server may be used for at a moment. */
+/** Whether an announced server may be given requests. */
 enum class Standing {
     Usable,
-    LastResort, ///< Its entry vanished a moment ago; it may only have lapsed.
-    Leaving,    ///< Draining or gone: no new work.
+    /**
+     * Its entry was removed recently; its lease may have expired while the store was unreachable.
+     */
+    LastResort,
+    Leaving, ///< Draining or gone; it gets no new requests.
 };
 
 /**
- * The backend servers that have announced themselves. An entry that vanishes is kept for a moment
- * as a last resort: while the store was away, entries of healthy servers lapse, all at the same
- * time, and are back a moment after it returns. Dropping them at once would refuse every request
- * of that moment.
+ * Keeps the announced backend servers. A removed entry is retained for a short time as a last
+ * resort: after a store outage the leases of all healthy servers expire at once, and the entries
+ * return a moment later. Without it, all requests in between would be refused.
  */
 class ServerDirectory
 {
 public:
     /**
-     * How long a vanished entry stays a last resort. Below the two seconds within which requests
-     * to a server that has left must stop, by the time that a request may wait for its server.
+     * The time for which a removed entry stays a last resort. Requests to a server that has left
+     * must end within two seconds, which includes the time that a request may wait for its server.
      */
-    static constexpr Duration VanishedKept = std::chrono::milliseconds(1500);
+    static constexpr Duration LastResortTime = std::chrono::milliseconds(1500);
 
-    /** The earlier life of that server, if this is a new one; it is forgotten. */
+    /**
+     * Adds or updates @p server.
+     * @return the name of the server's previous incarnation, which is removed, if there was one
+     */
     std::optional<ServerName> announce(AnnouncedServer server);
     void withdraw(const ServerName &name, TimePoint now);
-    /** Known to be gone, or not to be used: no last resort either. */
+    /** Removes a server that has gone or must not be used, without keeping it as a last resort. */
     void remove(const ServerName &name);
-    /** Forgets the entries that vanished longer ago than VanishedKept; cheap if there are none. */
+    /**
+     * Removes the entries that were withdrawn longer than LastResortTime ago.
+     * @return the names of the removed servers
+     */
     std::vector<ServerName> forgetVanished(TimePoint now);
 
-    /** The life that a server announced last; empty if it is not known (any more). */
+    /** Returns the name of the latest incarnation of @p instance; empty if unknown. */
     ServerName nameOf(const std::string &instance) const;
-    /** Null if it is not known (any more). */
+    /** Returns the server, or null if unknown. */
     const AnnouncedServer *find(const ServerName &name) const;
     Standing standing(const ServerName &name, TimePoint now) const;
-    /** Servers of @p service in name order that may get new work; last resorts if no others. */
+    /**
+     * Returns the servers of @p service that may get new requests, ordered by name; only if there
+     * are none, the last resorts.
+     */
     std::vector<const AnnouncedServer *> candidates(const ServiceName &service, EnginePhase phase,
                                                     TimePoint now) const;
-    /** False ends the visit. */
+    /** Returns false to stop the iteration. */
     using Visitor = std::function<bool(const AnnouncedServer &)>;
-    /** Visits the usable servers of @p service in @p domain in name order. */
+    /** Visits the usable servers of @p service in @p domain, ordered by name. */
     void visitUsable(const ServiceName &service, const DomainName &domain, TimePoint now,
                      const Visitor &visitor) const;
-    /** The domains with servers of @p service. */
+    /** Returns the failure domains that have servers of @p service. */
     std::vector<DomainName> domainsOf(const ServiceName &service) const;
-    /** Servers of @p service, whatever their standing. */
-    std::size_t sizeOf(const ServiceName &service) const;
+    /** Returns the number of servers of @p service, available or not. */
+    std::size_t serverCount(const ServiceName &service) const;
     std::vector<ServerName> names() const;
     std::size_t size() const { return m_entries.size(); }
 
@@ -64,21 +75,21 @@
     struct Entry
     {
         AnnouncedServer server;
-        std::optional<TimePoint> vanishedAt;
+        std::optional<TimePoint> withdrawnAt;
     };
 
     std::map<ServerName, Entry>::iterator erase(std::map<ServerName, Entry>::iterator it);
     static Standing standingOf(const Entry &entry, TimePoint now);
-    void unlist(const AnnouncedServer &server);
+    void removeFromIndexes(const AnnouncedServer &server);
 
-    struct Vanished
+    struct WithdrawnEntry
     {
         ServerName name;
         TimePoint at {};
     };
 
     std::map<ServerName, Entry> m_entries;
-    std::deque<Vanished> m_vanished; ///< Oldest first.
+    std::deque<WithdrawnEntry> m_withdrawn; ///< Removed entries, oldest first.
     std::map<std::string, ServerName> m_byInstance;
     using Entries = std::map<ServerName, const Entry *>;
 
--- a/src/fleet/upstreamchoice.h
+++ b/src/fleet/upstreamchoice.h
@@ -13,87 +13,103 @@
 
 namespace indigoway {
 
-/** Whom a node asks for the store's changes. */
+/** The source from which a node requests changes of the store. */
 struct Upstream
 {
-    std::optional<std::string> peer; ///< A node's control address; nothing: the store itself.
-    bool isProbe = false; ///< The store failed before: it is asked with a short wait only.
+    std::optional<std::string> peer; ///< Control address of a node; nothing for the store itself.
+    bool isProbe = false; ///< True if the store failed before and is called with a short timeout.
 };
 
 /**
- * Which node asks the store itself, and which one asks another node.
+ * Chooses whether this node follows the store itself or another node.
  *
- * Every waiting watch is a call that costs money and counts against the store's limit, so one node
- * of each failure domain watches the store. The others of the domain stand below it in a tree by
- * their rank, each node above a bounded number of others: what a node sends does not grow with the
- * fleet. A node asks only nodes of a better rank, so nobody waits in a circle. A node that is gone,
- * silent or itself cut off from the store is left out of the tree by whoever has noticed.
+ * Each waiting watch is a billed call that counts against the store's rate limit, so only one node
+ * of each failure domain, the watcher, follows the store. The other nodes of the domain form a tree
+ * below it in rank order with a bounded number of children per node, so a node's outgoing traffic
+ * does not grow with the fleet. A node follows only nodes of a better rank, which rules out cycles.
+ * Nodes that are gone, unresponsive or cut off from the store are left out by each node that has
+ * detected this.
  */
 class UpstreamChoice
 {
 public:
-    /** Nodes that ask one node. */
-    static constexpr std::size_t MostBelow = 16;
+    /** The maximum number of children of a node. */
+    static constexpr std::size_t MaxChildren = 16;
     /**
-     * Pages of a first listing that each node asks the store for. What is longer would, after a
-     * loss of all nodes, be listed by hundreds of nodes at a time; another node has it, or will.
+     * The number of pages of the initial listing that each node reads from the store. Longer
+     * listings come from other nodes, so that hundreds of nodes do not list the store at once when
+     * the whole fleet restarts.
      */
     static constexpr std::size_t MostOwnPages = 2;
 
-    /** @p spread: differs between nodes, so that they do not all turn to the same one. */
+    /**
+     * @param self this node's entry
+     * @param spread a number that differs between nodes, so that they do not all choose the same
+     *     peer
+     */
     UpstreamChoice(NodeEntry self, std::uint64_t spread);
 
-    /** @p roster: the nodes known, possibly with this one; @p seeds: further addresses. */
+    /**
+     * Chooses the upstream for changes.
+     * @param roster the known nodes, with or without this one
+     * @param seeds further control addresses
+     */
     Upstream choose(TimePoint now, const NodeRoster &roster, const std::vector<std::string> &seeds);
     /**
-     * For the rest of a listing by a node that has no copy. @p isSeed: other nodes may know this
-     * one from their settings, and ask it first. Nothing: others are busy; ask a moment later.
+     * Chooses the upstream for the rest of the initial listing.
+     * @param isSeed whether other nodes may have this node's address in their settings and ask it
+     *     first
+     * @return nothing if the peers are busy and should be asked again later
      */
     std::optional<Upstream> chooseForFirstCopy(TimePoint now, const NodeRoster &roster,
                                                const std::vector<std::string> &seeds, bool isSeed);
-    /** A node that is too busy to give a whole copy names others that may have one. */
+    /** Handles a peer that is too busy to send a snapshot and names @p others that may have one. */
     void referred(TimePoint now, const Upstream &busy, const std::vector<std::string> &others);
-    /** Whether this node is its domain's watcher; false while it is no member itself. */
+    /** Returns true if this node is its domain's watcher; false while it has no entry itself. */
     bool isWatcher(const NodeRoster &roster) const;
     void succeeded(const Upstream &upstream);
     void failed(TimePoint now, const Upstream &upstream);
 
 private:
-    struct Avoided
+    struct PeerBackoff
     {
         TimePoint until {};
-        std::uint32_t failures = 0; ///< In a row; 0: it was only too busy to give a copy.
+        /** Consecutive failures; 0 if the peer was only too busy to send a snapshot. */
+        std::uint32_t failures = 0;
     };
 
     /**
-     * The node above this one, by those that are not avoided; nothing: none is. One that has
-     * failed several times in a row goes further up: those beside it hear no more than it does.
+     * Returns the control address of this node's parent in the tree of usable nodes, or nothing if
+     * it has none. After several consecutive failures it goes further up, since nodes on the same
+     * level depend on the same nodes above.
      */
-    std::optional<std::string> nodeAbove(TimePoint now, const NodeRoster &roster) const;
-    /** Whether no node of the domain has a better rank. */
-    bool isFirst(const NodeRoster &roster) const;
-    bool isAvoided(const std::string &address, TimePoint now) const;
-    bool mayTryStore(TimePoint now, bool isWatching) const;
-    Upstream store(TimePoint now);
-    /** How long a store that has failed is left alone. */
-    Duration probeEvery(bool isWatching) const;
-    std::optional<Upstream> anyPeer(TimePoint now, const NodeRoster &roster,
-                                    const std::vector<std::string> &seeds);
-    std::optional<Upstream> nextOf(TimePoint now, const std::vector<std::string> &addresses);
-    /** Whether a node that is avoided is only too busy to give a copy. */
-    bool isAnyBusy(TimePoint now) const;
+    std::optional<std::string> parentNode(TimePoint now, const NodeRoster &roster) const;
+    /** Returns true if no node of the domain has a better rank. */
+    bool isHighestRanked(const NodeRoster &roster) const;
+    bool isBackedOff(const std::string &address, TimePoint now) const;
+    bool mayCallStore(TimePoint now, bool isDomainWatcher) const;
+    Upstream chooseStore(TimePoint now);
+    /** Returns the time after which a failed store is tried again. */
+    Duration storeRetryInterval(bool isDomainWatcher) const;
+    std::optional<Upstream> chooseAnyPeer(TimePoint now, const NodeRoster &roster,
+                                          const std::vector<std::string> &seeds);
+    std::optional<Upstream> chooseNextOf(TimePoint now, const std::vector<std::string> &addresses);
+    /** Returns true if any peer is avoided only because it is too busy to send a snapshot. */
+    bool hasBusyPeer(TimePoint now) const;
 
     NodeRank m_rank;
     DomainName m_domain;
-    std::string m_control;
-    std::map<std::string, Avoided> m_avoided; ///< By control address.
-    std::uint32_t m_peerFailures = 0;         ///< In a row.
-    std::uint32_t m_storeFailures = 0;        ///< In a row.
-    TimePoint m_storeTriedAt {};
-    std::uint64_t m_turn = 0;
-    Duration m_patience {}; ///< For a first copy from another node.
-    std::optional<TimePoint> m_wantsCopySince;
-    std::deque<std::string> m_referred; ///< Nodes to ask for a whole copy, the next one first.
+    std::string m_controlAddress;
+    /** Peers that are not used for now, by control address. */
+    std::map<std::string, PeerBackoff> m_peerBackoffs;
+    std::uint32_t m_peerFailures = 0;  ///< Consecutive failures of peers.
+    std::uint32_t m_storeFailures = 0; ///< Consecutive failures of the store.
+    TimePoint m_storeCalledAt {};
+    std::uint64_t m_roundRobinIndex = 0;
+    Duration m_snapshotTimeout {}; ///< Time to wait for a snapshot from a peer.
+    std::optional<TimePoint> m_snapshotWantedSince;
+    /** Control addresses to ask for a snapshot, next one first. */
+    std::deque<std::string> m_referrals;
 };
 
 } // namespace indigoway
--- a/src/quotas/quotabucket.cpp
+++ b/src/quotas/quotabucket.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** Bounds what a wrong report of use can cost an organisation; the quota's own time, in seconds. */
-constexpr double MostDebtSeconds = 10;
-/** Beyond that a caller is told no more than that it is long. */
-constexpr double LongestWaitSeconds = 60;
+/** Limits the debt that a wrong usage report can cause, in seconds of the quota's rate. */
+constexpr double MaxDebtSeconds = 10;
+/** The longest retry delay that is reported to a caller. */
+constexpr double MaxWaitSeconds = 60;
 
 double secondsOf(Duration duration)
 {
@@ -18,39 +18,38 @@
 
 } // namespace
 
-void QuotaBucket::fill(const BucketSize &size, TimePoint now)
+void QuotaBucket::refill(const RateLimit &limit, TimePoint now)
 {
-    if (now > m_filledAt) {
-        m_level += secondsOf(now - m_filledAt) * size.perSecond;
-        m_filledAt = now;
+    if (now > m_refilledAt) {
+        m_level += secondsOf(now - m_refilledAt) * limit.perSecond;
+        m_refilledAt = now;
     }
-    m_level = std::min(m_level, size.burst);
+    m_level = std::min(m_level, limit.burst);
 }
 
-bool QuotaBucket::take(const BucketSize &size, double units)
+bool QuotaBucket::take(const RateLimit &limit, double units)
 {
-    if (m_level < std::min(units, size.burst)) {
+    if (m_level < std::min(units, limit.burst)) {
         return false;
     }
     m_level -= units;
     return true;
 }
 
-void QuotaBucket::charge(const BucketSize &size, double units)
+void QuotaBucket::charge(const RateLimit &limit, double units)
 {
-    const double least = -(size.burst + MostDebtSeconds * size.perSecond);
-    m_level = std::clamp(m_level - units, least, std::max(size.burst, least));
+    const double minLevel = -(limit.burst + MaxDebtSeconds * limit.perSecond);
+    m_level = std::clamp(m_level - units, minLevel, std::max(limit.burst, minLevel));
 }
 
-Duration QuotaBucket::untilRoom(const BucketSize &size, double units) const
+Duration QuotaBucket::timeUntilAvailable(const RateLimit &limit, double units) const
 {
-    const double missing = std::min(units, size.burst) - m_level;
+    const double missing = std::min(units, limit.burst) - m_level;
     if (missing <= 0) {
         return Duration(0);
     }
-    const double seconds = size.perSecond > 0
-        ? std::min(missing / size.perSecond, LongestWaitSeconds)
-        : LongestWaitSeconds;
+    const double seconds =
+        limit.perSecond > 0 ? std::min(missing / limit.perSecond, MaxWaitSeconds) : MaxWaitSeconds;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
--- a/src/quotas/quotabucket.h
+++ b/src/quotas/quotabucket.h
@@ -5,40 +5,39 @@
 
 namespace indigoway::quotas {
 
-/** A rate, and what may come at once; of a whole quota or of a part of it. */
-struct BucketSize
+/** The rate and burst of a quota or of a share of it. */
+struct RateLimit
 {
     double perSecond = 0;
     double burst = 0;
 };
 
-/** A token bucket that may be in debt: what was used before it could be asked is made good first.
- */
+/** A token bucket whose level may be negative: usage that is reported late is charged as a debt. */
 class QuotaBucket
 {
 public:
-    /** Holds @p level at @p now. */
+    /** Creates a bucket that holds @p level units at @p now. */
     QuotaBucket(double level, TimePoint now)
         : m_level(level)
-        , m_filledAt(now)
+        , m_refilledAt(now)
     { }
 
-    /** Adds what has come since the last time. A burst that has shrunk takes its excess along. */
-    void fill(const BucketSize &size, TimePoint now);
+    /** Adds the units accrued since the last call, up to the burst. */
+    void refill(const RateLimit &limit, TimePoint now);
     /**
-     * Takes @p units if they are there. A request larger than the burst is served from a full
-     * bucket, which is in debt then: otherwise it would never be.
+     * Takes @p units if the bucket holds them. A request larger than the burst is granted by a full
+     * bucket, which is then in debt; otherwise it would never be granted.
      */
-    bool take(const BucketSize &size, double units);
-    /** Takes what was used already, or gives back if it is negative. */
-    void charge(const BucketSize &size, double units);
-    /** Until take() of @p units succeeds, if nobody else takes any. */
-    Duration untilRoom(const BucketSize &size, double units) const;
+    bool take(const RateLimit &limit, double units);
+    /** Deducts units that have already been used; a negative number returns units. */
+    void charge(const RateLimit &limit, double units);
+    /** Returns the time until take() of @p units can succeed if nothing else is taken. */
+    Duration timeUntilAvailable(const RateLimit &limit, double units) const;
     double level() const { return m_level; }
 
 private:
     double m_level = 0;
-    TimePoint m_filledAt {};
+    TimePoint m_refilledAt {};
 };
 
 } // namespace indigoway::quotas
--- a/src/quotas/quotacodec.cpp
+++ b/src/quotas/quotacodec.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Bounds what a stray or forged datagram can claim. */
-constexpr double MostUnits = 1e15;
-constexpr Duration LongestWait = std::chrono::hours(1);
+/** Limits the numbers accepted from a stray or forged datagram. */
+constexpr double MaxUnits = 1e15;
+constexpr Duration MaxRetryDelay = std::chrono::hours(1);
 
 Json::Value body(const UsageTold &told)
 {
@@ -70,7 +70,7 @@
 
 bool isBounded(double units)
 {
-    return std::abs(units) <= MostUnits;
+    return std::abs(units) <= MaxUnits;
 }
 
 std::optional<ToKeeper> readUsage(const Json::Value &value)
@@ -122,7 +122,7 @@
         return std::nullopt;
     }
     const Duration roomAfter(value["room_after_us"].asInt64());
-    if (roomAfter < Duration(0) || roomAfter > LongestWait) {
+    if (roomAfter < Duration(0) || roomAfter > MaxRetryDelay) {
         return std::nullopt;
     }
     return QuotaAnswered {ask, value["granted"].asBool(), roomAfter};
--- a/src/quotas/quotacodec.h
+++ b/src/quotas/quotacodec.h
@@ -12,10 +12,10 @@
 
 using scheduling::Datagram;
 
-/** JSON in single datagrams, beside those of the scheduler and for the same reasons. */
+/** Encodes messages as JSON in single datagrams, in the same format as the scheduler's. */
 std::string encode(const Datagram<ToKeeper> &datagram);
 std::string encode(const Datagram<FromKeeper> &datagram);
-/** Nothing if @p value is no such message. */
+/** Parses a message; returns nothing if @p value is invalid. */
 std::optional<Datagram<ToKeeper>> readToKeeper(const Json::Value &value);
 std::optional<Datagram<FromKeeper>> readFromKeeper(const Json::Value &value);
 
--- a/src/quotas/quotagate.cpp
+++ b/src/quotas/quotagate.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr Duration HeartbeatEvery = std::chrono::milliseconds(1000);
-/** A way there and back takes some milliseconds, and the keeper has other work, too. */
-constexpr Duration RepeatHeartbeat = std::chrono::milliseconds(200);
-/** A caller waits for it; plain requests are to be answered within some 150 ms. */
-constexpr Duration RepeatQuestion = std::chrono::milliseconds(40);
-/** One datagram in twenty may be lost on a bad link; three in a row are no accident. */
-constexpr std::uint32_t MostUnanswered = 3;
-/** Before a keeper that fell silent is believed to be there again. */
-constexpr Duration LeftAlone = std::chrono::milliseconds(1000);
-/** Of what the bound allows beyond the quota; the rest is for what the keeper learns too late. */
-constexpr double OwnPartOfTolerance = 0.5;
+constexpr Duration HeartbeatInterval = std::chrono::milliseconds(1000);
+/** The retry interval of a heartbeat, longer than a round trip to a busy keeper. */
+constexpr Duration HeartbeatRetryInterval = std::chrono::milliseconds(200);
+/** The retry interval of a question; a caller waits for its answer. */
+constexpr Duration QueryRetryInterval = std::chrono::milliseconds(40);
+/** Number of unanswered datagrams in a row after which the keeper is considered unreachable. */
+constexpr std::uint32_t MaxUnanswered = 3;
+/** The time for which an unreachable keeper is not used again. */
+constexpr Duration KeeperBackoff = std::chrono::milliseconds(1000);
+/** Fraction of the tolerance that nodes may use locally; the rest covers usage reported late. */
+constexpr double LocalToleranceFraction = 0.5;
 
 double secondsOf(Duration duration)
 {
@@ -34,14 +34,14 @@
     }
     m_keeper = std::move(keeper);
     m_keeperLife = {};
-    m_heartbeatAt = {};
-    m_unanswered = 0;
-    m_silentUntil = {};
+    m_nextHeartbeatAt = {};
+    m_unansweredHeartbeats = 0;
+    m_keeperBackoffUntil = {};
 }
 
 bool QuotaGate::hearsKeeper(TimePoint now) const
 {
-    return m_keeper && !m_keeperLife.isNone() && now >= m_silentUntil;
+    return m_keeper && !m_keeperLife.isNone() && now >= m_keeperBackoffUntil;
 }
 
 QuotaDecision QuotaGate::decide(TimePoint now, QuotaAskId ask, const OrganisationName &organisation,
@@ -49,18 +49,19 @@
 {
     if (!hearsKeeper(now)) {
         QuotaDecision decision;
-        const bool isPassed = decideAlone(now, organisation, quota, units, decision.roomAfter);
+        const bool isPassed = decideLocally(now, organisation, quota, units, decision.roomAfter);
         decision.kind = isPassed ? QuotaDecision::Kind::Passed : QuotaDecision::Kind::Refused;
         return decision;
     }
     if (!m_scarce.contains(organisation)) {
-        m_used[organisation] += units;
-        tellUsed(organisation, messages);
+        m_reportedUsage[organisation] += units;
+        reportUsage(organisation, messages);
         return {QuotaDecision::Kind::Passed, true, Duration(0)};
     }
-    // Whoever has to be asked has nothing left to give out if the keeper falls silent now.
-    m_own.insert_or_assign(organisation, QuotaBucket(0, now));
-    m_questions[ask] = {organisation, quota, units, now, 1, false};
+    // A scarce organisation starts with an empty local bucket if the keeper becomes unreachable
+    // now.
+    m_localBuckets.insert_or_assign(organisation, QuotaBucket(0, now));
+    m_pendingQueries[ask] = {organisation, quota, units, now, 1, false};
     messages.emplace_back(QuotaAsked {ask, organisation, units});
     return {QuotaDecision::Kind::Asked, true, Duration(0)};
 }
@@ -70,15 +71,15 @@
     if (m_keeperLife.isNone()) {
         return;
     }
-    m_used[organisation] -= units;
-    tellUsed(organisation, messages);
+    m_reportedUsage[organisation] -= units;
+    reportUsage(organisation, messages);
 }
 
 void QuotaGate::dropQuestion(QuotaAskId ask)
 {
-    const auto it = m_questions.find(ask);
-    if (it != m_questions.end()) {
-        it->second.isDropped = true;
+    const auto it = m_pendingQueries.find(ask);
+    if (it != m_pendingQueries.end()) {
+        it->second.isAbandoned = true;
     }
 }
 
@@ -86,27 +87,27 @@
                                                 Incarnation life, Messages &messages)
 {
     if (life != m_keeperLife) {
-        // Its sums begin with what is used from now on; its buckets begin empty for that.
+        // A new keeper starts with empty buckets and counts the usage from now on.
         m_keeperLife = life;
-        m_used.clear();
+        m_reportedUsage.clear();
     }
-    m_unanswered = 0;
-    m_heardAt = now;
+    m_unansweredHeartbeats = 0;
+    m_lastMessageAt = now;
     if (const auto *standing = std::get_if<StandingTold>(&message)) {
         m_scarce = {standing->scarce.begin(), standing->scarce.end()};
-        m_heartbeatAt = std::max(m_heartbeatAt, now + HeartbeatEvery);
+        m_nextHeartbeatAt = std::max(m_nextHeartbeatAt, now + HeartbeatInterval);
         return std::nullopt;
     }
     const auto &answer = std::get<QuotaAnswered>(message);
-    const auto it = m_questions.find(answer.ask);
-    if (it == m_questions.end()) {
+    const auto it = m_pendingQueries.find(answer.ask);
+    if (it == m_pendingQueries.end()) {
         return std::nullopt;
     }
-    const Question question = it->second;
-    m_questions.erase(it);
-    if (question.isDropped) {
+    const PendingQuery query = it->second;
+    m_pendingQueries.erase(it);
+    if (query.isAbandoned) {
         if (answer.isGranted) {
-            giveBack(question.organisation, question.units, messages);
+            giveBack(query.organisation, query.units, messages);
         }
         return std::nullopt;
     }
@@ -115,112 +116,115 @@
 
 std::vector<QuotaVerdict> QuotaGate::tick(TimePoint now, Messages &messages)
 {
-    if (!m_isWanted || !m_keeper) {
-        return decideAllAlone(now);
+    if (!m_isEnabled || !m_keeper) {
+        return decideAllLocally(now);
     }
-    if (now >= m_heartbeatAt) {
+    if (now >= m_nextHeartbeatAt) {
         sendHeartbeat(now, messages);
     }
-    bool isSilent = m_unanswered > MostUnanswered;
-    for (auto &[ask, question] : m_questions) {
-        if (now < question.sentAt + RepeatQuestion) {
+    bool isKeeperUnreachable = m_unansweredHeartbeats > MaxUnanswered;
+    for (auto &[ask, query] : m_pendingQueries) {
+        if (now < query.sentAt + QueryRetryInterval) {
             continue;
         }
-        if (question.sent >= MostUnanswered) {
-            isSilent = true;
+        if (query.sendCount >= MaxUnanswered) {
+            isKeeperUnreachable = true;
             continue;
         }
-        ++question.sent;
-        question.sentAt = now;
-        messages.emplace_back(QuotaAsked {ask, question.organisation, question.units});
+        ++query.sendCount;
+        query.sentAt = now;
+        messages.emplace_back(QuotaAsked {ask, query.organisation, query.units});
     }
-    if (!isSilent) {
+    if (!isKeeperUnreachable) {
         return {};
     }
-    m_silentUntil = now + LeftAlone;
-    return decideAllAlone(now);
+    m_keeperBackoffUntil = now + KeeperBackoff;
+    return decideAllLocally(now);
 }
 
 std::optional<TimePoint> QuotaGate::nextTick() const
 {
-    if (!m_isWanted || !m_keeper) {
+    if (!m_isEnabled || !m_keeper) {
         return std::nullopt;
     }
-    std::optional<TimePoint> next = m_heartbeatAt;
-    for (const auto &[ask, question] : m_questions) {
-        next = earlier(next, question.sentAt + RepeatQuestion);
+    std::optional<TimePoint> next = m_nextHeartbeatAt;
+    for (const auto &[ask, query] : m_pendingQueries) {
+        next = earlier(next, query.sentAt + QueryRetryInterval);
     }
     return next;
 }
 
-bool QuotaGate::decideAlone(TimePoint now, const OrganisationName &organisation, const Quota &quota,
-                            double units, Duration &roomAfter)
+bool QuotaGate::decideLocally(TimePoint now, const OrganisationName &organisation,
+                              const Quota &quota, double units, Duration &roomAfter)
 {
-    QuotaBucket &bucket = ownBucket(now, organisation, quota);
-    const BucketSize size = ownShare(quota);
-    if (bucket.take(size, units)) {
+    QuotaBucket &bucket = localBucket(now, organisation, quota);
+    const RateLimit limit = localShare(quota);
+    if (bucket.take(limit, units)) {
         return true;
     }
-    roomAfter = bucket.untilRoom(size, units);
+    roomAfter = bucket.timeUntilAvailable(limit, units);
     return false;
 }
 
-BucketSize QuotaGate::ownShare(const Quota &quota) const
+RateLimit QuotaGate::localShare(const Quota &quota) const
 {
     if (m_nodes == 0) {
         return {};
     }
-    const double inWindow = quota.perSecond * secondsOf(m_bounds.window) + quota.burst;
-    const double tolerance = m_bounds.over * inWindow + m_bounds.slack;
-    return {quota.perSecond / m_nodes, (quota.burst + OwnPartOfTolerance * tolerance) / m_nodes};
+    const double unitsInWindow = quota.perSecond * secondsOf(m_bounds.window) + quota.burst;
+    const double tolerance = m_bounds.over * unitsInWindow + m_bounds.slack;
+    return {quota.perSecond / m_nodes,
+            (quota.burst + LocalToleranceFraction * tolerance) / m_nodes};
 }
 
-QuotaBucket &QuotaGate::ownBucket(TimePoint now, const OrganisationName &organisation,
-                                  const Quota &quota)
+QuotaBucket &QuotaGate::localBucket(TimePoint now, const OrganisationName &organisation,
+                                    const Quota &quota)
 {
-    // A node that has never heard a keeper may be one of many that have just been started again,
-    // each after it had used its share.
-    const bool hadPlenty = m_heardAt != TimePoint {} && !m_scarce.contains(organisation);
-    const BucketSize size = ownShare(quota);
+    // Without any answer from a keeper this node may be one of many that have just restarted, each
+    // after it had used its share.
+    const bool startsFull = m_lastMessageAt != TimePoint {} && !m_scarce.contains(organisation);
+    const RateLimit limit = localShare(quota);
     const auto it =
-        m_own.try_emplace(organisation, QuotaBucket(hadPlenty ? size.burst : 0, now)).first;
-    it->second.fill(size, now);
+        m_localBuckets.try_emplace(organisation, QuotaBucket(startsFull ? limit.burst : 0, now))
+            .first;
+    it->second.refill(limit, now);
     return it->second;
 }
 
-void QuotaGate::tellUsed(const OrganisationName &organisation, Messages &messages)
+void QuotaGate::reportUsage(const OrganisationName &organisation, Messages &messages)
 {
-    messages.emplace_back(
-        UsageTold {m_keeperLife, ++m_sequence, false, {{organisation, m_used[organisation]}}});
+    messages.emplace_back(UsageTold {
+        m_keeperLife, ++m_sequence, false, {{organisation, m_reportedUsage[organisation]}}});
 }
 
 void QuotaGate::sendHeartbeat(TimePoint now, Messages &messages)
 {
     UsageTold heartbeat {m_keeperLife, ++m_sequence, true, {}};
-    constexpr std::size_t MostSums = 40; // Of one datagram.
-    for (const auto &[organisation, units] : m_used) {
-        if (heartbeat.used.size() < MostSums) {
+    constexpr std::size_t MaxTotals = 40; // Fits into one datagram.
+    for (const auto &[organisation, units] : m_reportedUsage) {
+        if (heartbeat.used.size() < MaxTotals) {
             heartbeat.used.push_back({organisation, units});
         }
     }
     messages.emplace_back(std::move(heartbeat));
-    ++m_unanswered;
-    m_heartbeatAt = now + (m_unanswered > MostUnanswered ? HeartbeatEvery : RepeatHeartbeat);
+    ++m_unansweredHeartbeats;
+    m_nextHeartbeatAt =
+        now + (m_unansweredHeartbeats > MaxUnanswered ? HeartbeatInterval : HeartbeatRetryInterval);
 }
 
-std::vector<QuotaVerdict> QuotaGate::decideAllAlone(TimePoint now)
+std::vector<QuotaVerdict> QuotaGate::decideAllLocally(TimePoint now)
 {
     std::vector<QuotaVerdict> verdicts;
-    for (const auto &[ask, question] : m_questions) {
-        if (question.isDropped) {
+    for (const auto &[ask, query] : m_pendingQueries) {
+        if (query.isAbandoned) {
             continue;
         }
         QuotaVerdict verdict {ask, false, false, Duration(0)};
-        verdict.isGranted = decideAlone(now, question.organisation, question.quota, question.units,
-                                        verdict.roomAfter);
+        verdict.isGranted =
+            decideLocally(now, query.organisation, query.quota, query.units, verdict.roomAfter);
         verdicts.push_back(verdict);
     }
-    m_questions.clear();
+    m_pendingQueries.clear();
     return verdicts;
 }
 
--- a/src/quotas/quotagate.h
+++ b/src/quotas/quotagate.h
@@ -10,15 +10,18 @@
 
 namespace indigoway::quotas {
 
-/** By how much a quota may be passed in a window, since no node sees all others at once. */
+/**
+ * The tolerance by which the usage in a time window may exceed a quota, since no node knows the
+ * usage of all others at any moment.
+ */
 struct QuotaBounds
 {
     Duration window = std::chrono::seconds(10);
-    double over = 0;  ///< Of what the quota allows in a window.
-    double slack = 0; ///< In the quota's units, beyond that.
+    double over = 0;  ///< Fraction of the quota's units in a window.
+    double slack = 0; ///< Further units beyond that.
 };
 
-/** What a node does about one request; the keeper is told in @c messages. */
+/** The decision on a request; messages for the keeper are returned separately. */
 struct QuotaDecision
 {
     enum class Kind {
@@ -27,24 +30,25 @@
         Refused,
     };
     Kind kind = Kind::Passed;
-    bool isCounted = false; ///< By the keeper: what is not used is to be given back.
-    Duration roomAfter {};  ///< Of one that is refused.
+    /** True if the keeper counts the request, so that unused units must be returned. */
+    bool isCounted = false;
+    Duration roomAfter {}; ///< Retry delay of a refused request.
 };
 
-/** A question has come to its end. */
+/** The result of a question to the keeper. */
 struct QuotaVerdict
 {
     QuotaAskId ask;
     bool isGranted = false;
-    bool isCounted = false; ///< As above.
+    bool isCounted = false; ///< As in QuotaDecision.
     Duration roomAfter {};
 };
 
 /**
- * A node's part in keeping the organisations to their quotas, which count over all nodes: see
- * QuotaKeeper. While the keeper is silent the node gives out its even share of each rate by
- * itself, and of each burst and of half of what the bound allows beyond: the shares of all nodes
- * add up to the bound, however many are cut off from each other.
+ * Enforces the quotas of organisations at one node together with the fleet's QuotaKeeper. While the
+ * keeper is unreachable, the node grants requests locally from an equal share of each rate, each
+ * burst and half of the tolerance; the shares of all nodes together stay within the tolerance even
+ * if all nodes are cut off from each other.
  */
 class QuotaGate
 {
@@ -55,61 +59,77 @@
         : m_bounds(bounds)
     { }
 
-    /** Another keeper, or none; quotas are @p wanted while the desired state has any. */
+    /**
+     * Sets the keeper, or none. setWanted() enables the exchange with it while any quota is
+     * configured.
+     */
     void setKeeper(std::optional<NodeName> keeper);
-    void setWanted(bool isWanted) { m_isWanted = isWanted; }
-    /** That share the quotas while no keeper is heard. */
+    void setWanted(bool isWanted) { m_isEnabled = isWanted; }
+    /** Sets the number of nodes that share the quotas while the keeper is unreachable. */
     void setNodes(std::uint32_t nodes) { m_nodes = nodes; }
 
-    /** @p ask names the request if it comes to a question. */
+    /**
+     * Decides whether a request of @p units may run.
+     * @param ask the id of the question if the keeper must be asked
+     * @param messages receives the messages for the keeper
+     */
     QuotaDecision decide(TimePoint now, QuotaAskId ask, const OrganisationName &organisation,
                          const Quota &quota, double units, Messages &messages);
-    /** A request that the keeper has counted has not been run. */
+    /** Returns the units of a request that the keeper has counted but that did not run. */
     void giveBack(const OrganisationName &organisation, double units, Messages &messages);
-    /** Nobody waits for the answer any more; what it grants is given back. */
+    /** Abandons a question whose caller has left; units granted for it are returned. */
     void dropQuestion(QuotaAskId ask);
-    /** The keeper, in life @p life, has told something. */
+    /**
+     * Handles a message from the keeper.
+     * @param life the incarnation of the keeper
+     * @return the result of a question, if the message answers one that has not been abandoned
+     */
     std::optional<QuotaVerdict> answered(TimePoint now, const FromKeeper &message, Incarnation life,
                                          Messages &messages);
-    /** Says what is due; the questions that the keeper has left unanswered. */
+    /**
+     * Sends due heartbeats and repeated questions.
+     * @return the questions decided locally because the keeper does not answer
+     */
     std::vector<QuotaVerdict> tick(TimePoint now, Messages &messages);
-    /** When tick() is wanted at the latest. */
+    /** Returns the time at which tick() must be called next. */
     std::optional<TimePoint> nextTick() const;
     bool hearsKeeper(TimePoint now) const;
 
 private:
-    struct Question
+    struct PendingQuery
     {
         OrganisationName organisation;
         Quota quota;
         double units = 0;
         TimePoint sentAt {};
-        std::uint32_t sent = 0;
-        bool isDropped = false;
+        std::uint32_t sendCount = 0;
+        bool isAbandoned = false;
     };
 
-    bool decideAlone(TimePoint now, const OrganisationName &organisation, const Quota &quota,
-                     double units, Duration &roomAfter);
-    BucketSize ownShare(const Quota &quota) const;
-    QuotaBucket &ownBucket(TimePoint now, const OrganisationName &organisation, const Quota &quota);
-    void tellUsed(const OrganisationName &organisation, Messages &messages);
+    bool decideLocally(TimePoint now, const OrganisationName &organisation, const Quota &quota,
+                       double units, Duration &roomAfter);
+    RateLimit localShare(const Quota &quota) const;
+    QuotaBucket &localBucket(TimePoint now, const OrganisationName &organisation,
+                             const Quota &quota);
+    void reportUsage(const OrganisationName &organisation, Messages &messages);
     void sendHeartbeat(TimePoint now, Messages &messages);
-    std::vector<QuotaVerdict> decideAllAlone(TimePoint now);
+    std::vector<QuotaVerdict> decideAllLocally(TimePoint now);
 
     QuotaBounds m_bounds;
     std::uint32_t m_nodes = 0;
-    bool m_isWanted = false;
+    bool m_isEnabled = false;
     std::optional<NodeName> m_keeper;
-    Incarnation m_keeperLife;       ///< None until it is heard.
-    TimePoint m_heardAt {};         ///< Its standing, the last time.
-    TimePoint m_heartbeatAt {};     ///< The next one.
-    std::uint32_t m_unanswered = 0; ///< Of the heartbeats, in a row.
-    TimePoint m_silentUntil {};
+    Incarnation m_keeperLife;                 ///< None until the keeper has answered.
+    TimePoint m_lastMessageAt {};             ///< Time of its last message.
+    TimePoint m_nextHeartbeatAt {};           ///< Time of the next heartbeat.
+    std::uint32_t m_unansweredHeartbeats = 0; ///< Consecutive unanswered heartbeats.
+    TimePoint m_keeperBackoffUntil {};
     std::uint64_t m_sequence = 0;
     std::set<OrganisationName> m_scarce;
-    std::map<OrganisationName, double> m_used; ///< For the keeper's present life.
-    std::map<OrganisationName, QuotaBucket> m_own;
-    std::map<QuotaAskId, Question> m_questions;
+    /** Units reported to the current incarnation of the keeper. */
+    std::map<OrganisationName, double> m_reportedUsage;
+    std::map<OrganisationName, QuotaBucket> m_localBuckets;
+    std::map<QuotaAskId, PendingQuery> m_pendingQueries;
 };
 
 } // namespace indigoway::quotas
--- a/src/quotas/quotakeeper.cpp
+++ b/src/quotas/quotakeeper.cpp
@@ -6,14 +6,17 @@
 
 namespace {
 
-/** Nodes tell something every second; one that is not heard for so long is cut off or gone. */
-constexpr Duration HeardFor = std::chrono::milliseconds(2000);
-constexpr Duration CountEvery = std::chrono::milliseconds(50);
-/** A question is repeated for a fraction of a second. */
-constexpr Duration AnswerKept = std::chrono::seconds(1);
-/** Of the burst: below it each request is asked for, until there is clearly more again. */
-constexpr double ScarceBelow = 0.5;
-constexpr double PlentyAbove = 0.75;
+/**
+ * The time after which a node without messages is considered unreachable; nodes send one every
+ * second.
+ */
+constexpr Duration NodeTimeout = std::chrono::milliseconds(2000);
+constexpr Duration FractionUpdateInterval = std::chrono::milliseconds(50);
+/** Longer than the time for which a node repeats a question. */
+constexpr Duration AnswerRetention = std::chrono::seconds(1);
+/** Fractions of the burst; the gap between them prevents rapid changes of state. */
+constexpr double ScarceBelowFraction = 0.5;
+constexpr double PlentyAboveFraction = 0.75;
 
 const Quota *quotaOf(const RouteTable &routes, const OrganisationName &name)
 {
@@ -26,135 +29,139 @@
 KeeperReplies QuotaKeeper::handle(TimePoint now, const View &view, const NodeLife &from,
                                   const ToKeeper &message)
 {
-    if (!m_since) {
-        m_since = now;
+    if (!m_startedAt) {
+        m_startedAt = now;
     }
-    Heard &heard = hear(now, from);
-    countHeard(now, view);
+    NodeState &state = touchNode(now, from);
+    updateReachableFraction(now, view);
     const std::size_t scarceBefore = m_scarce.size();
     KeeperReplies replies;
     if (const auto *asked = std::get_if<QuotaAsked>(&message)) {
-        replies.push_back({from.node, answer(now, view, heard, *asked)});
+        replies.push_back({from.node, answer(now, view, state, *asked)});
     } else {
-        const auto &told = std::get<UsageTold>(message);
-        take(now, view, heard, told);
-        if (told.wantsStanding) {
-            replies.push_back({from.node, standing()});
+        const auto &report = std::get<UsageTold>(message);
+        applyReport(now, view, state, report);
+        if (report.wantsStanding) {
+            replies.push_back({from.node, scarcityReport()});
         }
     }
     if (m_scarce.size() > scarceBefore) {
-        // With the next regular answer a node would hear of it up to a second later, and pass
-        // meanwhile what a caller with many times its usual load sends.
-        for (const auto &[node, other] : m_heard) {
-            replies.push_back({node, standing()});
+        // The next periodic answer could be a second away, and nodes would grant a sudden excess
+        // until then.
+        for (const auto &[node, other] : m_nodes) {
+            replies.push_back({node, scarcityReport()});
         }
     }
     return replies;
 }
 
-void QuotaKeeper::take(TimePoint now, const View &view, Heard &heard, const UsageTold &told)
+void QuotaKeeper::applyReport(TimePoint now, const View &view, NodeState &state,
+                              const UsageTold &report)
 {
-    if (told.keeper != m_self) {
-        return; // The sums are for another keeper, or an earlier life of this one.
+    if (report.keeper != m_self) {
+        return; // The report is for another keeper or for an earlier incarnation of this one.
     }
-    for (const UsedSoFar &used : told.used) {
+    for (const UsedSoFar &used : report.used) {
         const Quota *quota = quotaOf(view.routes, used.organisation);
-        Sum &sum = heard.used[used.organisation];
-        if (!quota || told.sequence <= sum.sequence) {
+        ReportedUsage &total = state.used[used.organisation];
+        if (!quota || report.sequence <= total.sequence) {
             continue;
         }
         account(now, used.organisation, *quota)
-            .bucket.charge(sizeOf(*quota), used.units - sum.units);
-        sum = {used.units, told.sequence};
-        noteLevel(now, used.organisation, *quota);
+            .bucket.charge(limitOf(*quota), used.units - total.units);
+        total = {used.units, report.sequence};
+        updateScarcity(now, used.organisation, *quota);
     }
 }
 
-QuotaAnswered QuotaKeeper::answer(TimePoint now, const View &view, Heard &heard,
+QuotaAnswered QuotaKeeper::answer(TimePoint now, const View &view, NodeState &state,
                                   const QuotaAsked &asked)
 {
-    std::erase_if(heard.decided, [&](const auto &one) { return now > one.second.at + AnswerKept; });
-    if (const auto it = heard.decided.find(asked.ask); it != heard.decided.end()) {
+    std::erase_if(state.recentAnswers,
+                  [&](const auto &one) { return now > one.second.at + AnswerRetention; });
+    if (const auto it = state.recentAnswers.find(asked.ask); it != state.recentAnswers.end()) {
         return it->second.answer;
     }
     const Quota *quota = quotaOf(view.routes, asked.organisation);
-    // Without a limit here the node's copy of the desired state is another one; it lets none pass
-    // that it should not, since it asks for each request only where it knows of a limit.
+    // The node has a different version of the configuration; a node asks only for organisations
+    // that it knows to have a quota, so granting is safe.
     const QuotaAnswered result =
         quota ? decide(now, *quota, asked) : QuotaAnswered {asked.ask, true, Duration(0)};
-    heard.decided.emplace(asked.ask, Decided {result, now});
+    state.recentAnswers.emplace(asked.ask, CachedAnswer {result, now});
     return result;
 }
 
 QuotaAnswered QuotaKeeper::decide(TimePoint now, const Quota &quota, const QuotaAsked &asked)
 {
     Account &one = account(now, asked.organisation, quota);
-    const BucketSize size = sizeOf(quota);
-    const bool isGranted = one.bucket.take(size, asked.units);
-    noteLevel(now, asked.organisation, quota);
+    const RateLimit limit = limitOf(quota);
+    const bool isGranted = one.bucket.take(limit, asked.units);
+    updateScarcity(now, asked.organisation, quota);
     if (isGranted) {
         return {asked.ask, true, Duration(0)};
     }
-    // Each is told a time of its own, one after the other: all at once would find room for one.
+    // Refused callers get successive retry times, so that they do not all compete for the same
+    // units.
     const TimePoint room =
-        std::max(one.promisedUntil, now + one.bucket.untilRoom(size, asked.units));
-    const BucketSize whole {quota.perSecond, quota.burst};
-    one.promisedUntil = room + QuotaBucket(0, now).untilRoom(whole, asked.units);
+        std::max(one.lastRetryAt, now + one.bucket.timeUntilAvailable(limit, asked.units));
+    const RateLimit whole {quota.perSecond, quota.burst};
+    one.lastRetryAt = room + QuotaBucket(0, now).timeUntilAvailable(whole, asked.units);
     return {asked.ask, false, room - now};
 }
 
-QuotaKeeper::Heard &QuotaKeeper::hear(TimePoint now, const NodeLife &from)
+QuotaKeeper::NodeState &QuotaKeeper::touchNode(TimePoint now, const NodeLife &from)
 {
-    Heard &heard = m_heard[from.node];
-    if (heard.life != from.incarnation) {
-        heard = {};
-        heard.life = from.incarnation;
+    NodeState &state = m_nodes[from.node];
+    if (state.life != from.incarnation) {
+        state = {};
+        state.life = from.incarnation;
     }
-    heard.at = now;
-    return heard;
+    state.lastMessageAt = now;
+    return state;
 }
 
-void QuotaKeeper::countHeard(TimePoint now, const View &view)
+void QuotaKeeper::updateReachableFraction(TimePoint now, const View &view)
 {
-    if (now < m_countedAt + CountEvery) {
+    if (now < m_fractionUpdatedAt + FractionUpdateInterval) {
         return;
     }
-    // What came until now came at the part that was heard until now.
-    noteAllLevels(now, view);
-    m_countedAt = now;
-    std::erase_if(m_heard, [&](const auto &one) { return now > one.second.at + HeardFor; });
-    const auto heard = static_cast<double>(m_heard.size());
-    m_part = heard / std::max(heard, static_cast<double>(view.nodes));
+    // The units accrued so far count with the share of nodes reachable until now.
+    updateAllScarcity(now, view);
+    m_fractionUpdatedAt = now;
+    std::erase_if(m_nodes,
+                  [&](const auto &one) { return now > one.second.lastMessageAt + NodeTimeout; });
+    const auto reachable = static_cast<double>(m_nodes.size());
+    m_reachableFraction = reachable / std::max(reachable, static_cast<double>(view.nodes));
 }
 
 QuotaKeeper::Account &QuotaKeeper::account(TimePoint now, const OrganisationName &name,
                                            const Quota &quota)
 {
-    const auto it = m_accounts.try_emplace(name, Account {QuotaBucket(0, *m_since), {}}).first;
-    it->second.bucket.fill(sizeOf(quota), now);
+    const auto it = m_accounts.try_emplace(name, Account {QuotaBucket(0, *m_startedAt), {}}).first;
+    it->second.bucket.refill(limitOf(quota), now);
     return it->second;
 }
 
-BucketSize QuotaKeeper::sizeOf(const Quota &quota) const
+RateLimit QuotaKeeper::limitOf(const Quota &quota) const
 {
-    return {quota.perSecond * m_part, quota.burst};
+    return {quota.perSecond * m_reachableFraction, quota.burst};
 }
 
-void QuotaKeeper::noteLevel(TimePoint now, const OrganisationName &name, const Quota &quota)
+void QuotaKeeper::updateScarcity(TimePoint now, const OrganisationName &name, const Quota &quota)
 {
     const double level = account(now, name, quota).bucket.level();
-    if (level > PlentyAbove * quota.burst) {
+    if (level > PlentyAboveFraction * quota.burst) {
         m_scarce.erase(name);
-    } else if (level < ScarceBelow * quota.burst) {
+    } else if (level < ScarceBelowFraction * quota.burst) {
         m_scarce.insert(name);
     }
 }
 
-void QuotaKeeper::noteAllLevels(TimePoint now, const View &view)
+void QuotaKeeper::updateAllScarcity(TimePoint now, const View &view)
 {
     for (const Organisation &organisation : view.routes.organisations()) {
         if (organisation.quota) {
-            noteLevel(now, organisation.name, *organisation.quota);
+            updateScarcity(now, organisation.name, *organisation.quota);
         } else {
             m_scarce.erase(organisation.name);
         }
@@ -166,7 +173,7 @@
     std::erase_if(m_accounts, [&](const auto &one) { return isGone(one.first); });
 }
 
-StandingTold QuotaKeeper::standing() const
+StandingTold QuotaKeeper::scarcityReport() const
 {
     return {{m_scarce.begin(), m_scarce.end()}};
 }
--- a/src/quotas/quotakeeper.h
+++ b/src/quotas/quotakeeper.h
@@ -20,25 +20,24 @@
 using KeeperReplies = std::vector<KeeperReply>;
 
 /**
- * Counts what all nodes use of the organisations' quotas: one node runs it for the others.
+ * Counts the usage of the organisations' quotas by all nodes; one node of the fleet runs it.
  *
- * An organisation with plenty left costs its callers no wait: nodes pass its requests and tell
- * what they used. Once half of its burst is gone, nodes are told at once, and ask for each of its
- * requests from then on, so that what is beyond the quota is refused to the token, and what is
- * not is served, whichever nodes the callers come to.
+ * While an organisation has plenty of units left, nodes grant its requests without delay and report
+ * the usage. When less than half of the burst is left, the organisation is scarce: all nodes are
+ * notified at once and ask for each of its requests, so the quota is enforced exactly.
  *
- * A new keeper knows nothing of what was used before, so its buckets begin empty: a keeper that
- * changes hands gives nobody a second burst. Of the rate it gives out the part of the nodes that
- * it hears; those that it does not hear give out theirs by themselves (QuotaGate).
+ * A new keeper does not know the earlier usage, so its buckets start empty and a change of the
+ * keeper grants no second burst. It grants the share of the rate that belongs to the nodes it hears
+ * from; the other nodes grant their shares locally, see QuotaGate.
  */
 class QuotaKeeper
 {
 public:
-    /** What the node that runs it knows of the fleet. */
+    /** The state of the fleet as known to the node that runs the keeper. */
     struct View
     {
         const RouteTable &routes;
-        std::uint32_t nodes = 0; ///< That serve callers.
+        std::uint32_t nodes = 0; ///< Number of nodes that serve callers.
     };
 
     explicit QuotaKeeper(Incarnation self)
@@ -47,53 +46,55 @@
 
     KeeperReplies handle(TimePoint now, const View &view, const NodeLife &from,
                          const ToKeeper &message);
-    /** Organisations whose requests are asked for one by one. */
+    /** Returns the number of organisations whose requests must be asked for individually. */
     std::size_t scarce() const { return m_scarce.size(); }
 
 private:
-    /** What a node has used of an organisation's quota, as it told last. */
-    struct Sum
+    /** The total usage of an organisation that a node has reported last. */
+    struct ReportedUsage
     {
         double units = 0;
-        std::uint64_t sequence = 0; ///< Of the message that told it.
+        std::uint64_t sequence = 0; ///< Sequence number of the report.
     };
-    struct Decided
+    struct CachedAnswer
     {
         QuotaAnswered answer;
         TimePoint at {};
     };
-    /** A node that has told something. */
-    struct Heard
+    /** The state of a node that has sent a message. */
+    struct NodeState
     {
         Incarnation life;
-        TimePoint at {};
-        std::map<OrganisationName, Sum> used;
-        std::map<QuotaAskId, Decided> decided; ///< Of late, for questions that are repeated.
+        TimePoint lastMessageAt {};
+        std::map<OrganisationName, ReportedUsage> used;
+        std::map<QuotaAskId, CachedAnswer>
+            recentAnswers; ///< Recent answers, for repeated questions.
     };
-    /** All nodes together. */
+    /** The usage of an organisation by all nodes. */
     struct Account
     {
         QuotaBucket bucket;
-        TimePoint promisedUntil {}; ///< Those that were refused have been told times up to here.
+        TimePoint lastRetryAt {}; ///< Latest retry time given to a refused request.
     };
 
-    void take(TimePoint now, const View &view, Heard &heard, const UsageTold &told);
-    QuotaAnswered answer(TimePoint now, const View &view, Heard &heard, const QuotaAsked &asked);
+    void applyReport(TimePoint now, const View &view, NodeState &state, const UsageTold &report);
+    QuotaAnswered answer(TimePoint now, const View &view, NodeState &state,
+                         const QuotaAsked &asked);
     QuotaAnswered decide(TimePoint now, const Quota &quota, const QuotaAsked &asked);
-    Heard &hear(TimePoint now, const NodeLife &from);
-    void countHeard(TimePoint now, const View &view);
+    NodeState &touchNode(TimePoint now, const NodeLife &from);
+    void updateReachableFraction(TimePoint now, const View &view);
     Account &account(TimePoint now, const OrganisationName &name, const Quota &quota);
-    BucketSize sizeOf(const Quota &quota) const;
-    /** Whether @p name is scarce from now on. */
-    void noteLevel(TimePoint now, const OrganisationName &name, const Quota &quota);
-    void noteAllLevels(TimePoint now, const View &view);
-    StandingTold standing() const;
+    RateLimit limitOf(const Quota &quota) const;
+    /** Updates whether @p name is scarce. */
+    void updateScarcity(TimePoint now, const OrganisationName &name, const Quota &quota);
+    void updateAllScarcity(TimePoint now, const View &view);
+    StandingTold scarcityReport() const;
 
     Incarnation m_self;
-    std::optional<TimePoint> m_since; ///< When it was first told something.
-    std::map<NodeName, Heard> m_heard;
-    double m_part = 0; ///< Of the fleet's nodes that are heard.
-    TimePoint m_countedAt {};
+    std::optional<TimePoint> m_startedAt; ///< Time of the first message.
+    std::map<NodeName, NodeState> m_nodes;
+    double m_reachableFraction = 0; ///< Fraction of the fleet's nodes that are reachable.
+    TimePoint m_fractionUpdatedAt {};
     std::map<OrganisationName, Account> m_accounts;
     std::set<OrganisationName> m_scarce;
 };
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -7,32 +7,40 @@
 #include <variant>
 #include <vector>
 
-/** @file What nodes and the keeper of the quotas tell each other, each in one datagram. */
+/** @file Messages between nodes and the quota keeper, each in one datagram. */
 namespace indigoway::quotas {
 
-/** A question of one life of a node. */
+/** Identifies a question within one incarnation of a node. */
 using QuotaAskId = Number<struct QuotaAskTag>;
 
-/** What requests at one node have used of an organisation's quota. */
+/** The total usage of an organisation's quota by the requests of one node. */
 struct UsedSoFar
 {
     OrganisationName organisation;
-    /** Since the node heard this keeper first; less where requests were not run after all. */
+    /**
+     * Units since the node first heard from this keeper; units of requests that did not run are
+     * deducted again.
+     */
     double units = 0;
     bool operator==(const UsedSoFar &) const = default;
 };
 
-/** Sums, so that a lost datagram is made good by the next one. */
+/** Reports totals rather than differences, so a lost datagram is made up for by the next one. */
 struct UsageTold
 {
-    Incarnation keeper;         ///< That the sums are for; none: the node has not heard it yet.
-    std::uint64_t sequence = 0; ///< Rises with each of a node's messages; datagrams may overtake.
-    bool wantsStanding = false; ///< The node wants to know that the keeper lives, and what it says.
+    /**
+     * Incarnation of the keeper that the totals are for; none if the node has not heard from it
+     * yet.
+     */
+    Incarnation keeper;
+    /** Increases with each message of a node; datagrams may be reordered. */
+    std::uint64_t sequence = 0;
+    bool wantsStanding = false; ///< True if the node requests a StandingTold in return.
     std::vector<UsedSoFar> used;
     bool operator==(const UsageTold &) const = default;
 };
 
-/** May a request be served? Asked again, it is the same. */
+/** Asks whether a request may be served. A repeated question gets the same answer. */
 struct QuotaAsked
 {
     QuotaAskId ask;
@@ -43,7 +51,7 @@
 
 using ToKeeper = std::variant<UsageTold, QuotaAsked>;
 
-/** The organisations whose requests are to be asked for one by one; all others have plenty. */
+/** Lists the organisations whose requests must be asked for individually. */
 struct StandingTold
 {
     std::vector<OrganisationName> scarce;
@@ -54,7 +62,7 @@
 {
     QuotaAskId ask;
     bool isGranted = false;
-    Duration roomAfter {}; ///< Of one that is not granted.
+    Duration roomAfter {}; ///< Retry delay of a refused request.
     bool operator==(const QuotaAnswered &) const = default;
 };
 
--- a/src/scheduling/enginechoice.cpp
+++ b/src/scheduling/enginechoice.cpp
@@ -47,7 +47,7 @@
     , m_memory(service.engine ? static_cast<double>(service.engine->memoryTokens) : 0)
 {
     Phases engines;
-    if (limit < servers.sizeOf(service.name)) {
+    if (limit < servers.serverCount(service.name)) {
         engines = firstEngines(servers, service, limit);
     }
     // Where none is usable, there may be last resorts.
--- a/src/store/copyproof.cpp
+++ b/src/store/copyproof.cpp
@@ -7,35 +7,36 @@
 void CopyProof::answered(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf)
 {
     if (copyAsOf >= revision) {
-        prove(askedAt);
+        advanceTo(askedAt);
     } else if (!m_pending) {
-        // A later answer does not take its place: changes may come faster than they are copied.
-        m_pending = Pending {askedAt, revision};
+        // The pending revision is kept: with frequent changes the copy might never reach the latest
+        // one.
+        m_pending = PendingRevision {askedAt, revision};
     }
 }
 
 void CopyProof::copied(std::uint64_t copyAsOf)
 {
     if (m_pending && copyAsOf >= m_pending->revision) {
-        prove(m_pending->askedAt);
+        advanceTo(m_pending->askedAt);
         m_pending.reset();
     }
 }
 
 void CopyProof::told(BootTime askedAt, BootTime now, Duration held, Duration age)
 {
-    const Duration heldAtMost = std::clamp(held, Duration(0), Duration(now - askedAt));
-    prove(askedAt + heldAtMost - std::max(age, Duration(0)));
+    const Duration boundedHeld = std::clamp(held, Duration(0), Duration(now - askedAt));
+    advanceTo(askedAt + boundedHeld - std::max(age, Duration(0)));
 }
 
 std::optional<Duration> CopyProof::age(BootTime now) const
 {
-    return m_provenAt ? std::optional(Duration(now - *m_provenAt)) : std::nullopt;
+    return m_freshAt ? std::optional(Duration(now - *m_freshAt)) : std::nullopt;
 }
 
-void CopyProof::prove(BootTime at)
+void CopyProof::advanceTo(BootTime at)
 {
-    m_provenAt = m_provenAt ? std::max(*m_provenAt, at) : at;
+    m_freshAt = m_freshAt ? std::max(*m_freshAt, at) : at;
 }
 
 } // namespace indigoway
--- a/src/store/copyproof.h
+++ b/src/store/copyproof.h
@@ -8,42 +8,49 @@
 namespace indigoway {
 
 /**
- * How old this node's copy of the store may be, at the most: since when it has surely held all
- * that the store had.
+ * Keeps an upper bound on the staleness of the local copy of the store.
  *
- * A watch that is silent proves nothing: its connection may be dead, or the store may hold its
- * changes back. So the store is asked what its revision is, now and then, and the copy is as new
- * as the moment at which the question left, once it has come to that revision. An answer that was
- * read late, after this process stood still, is only as good as that moment, too. Other nodes are
- * told the age, and add to it what passes on the way.
+ * A silent watch proves nothing, since its connection may be dead or the store may delay its
+ * events. So the store's current revision is read periodically: once the copy has reached that
+ * revision, it is as fresh as the time at which the read was sent. The send time also covers
+ * answers that are read late because the process was suspended. Nodes pass the staleness on to each
+ * other and add the time in transit.
  */
 class CopyProof
 {
 public:
-    /** The store was asked at @p askedAt and had @p revision; the copy is at @p copyAsOf. */
+    /**
+     * Handles a read of the store's revision.
+     * @param askedAt the time when the request was sent
+     * @param revision the store's revision
+     * @param copyAsOf the revision of the local copy
+     */
     void answered(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf);
-    /** The copy has come to @p copyAsOf. */
+    /** Handles an advance of the local copy to revision @p copyAsOf. */
     void copied(std::uint64_t copyAsOf);
     /**
-     * Another node, whose news this copy has taken in, was asked at @p askedAt, held the question
-     * for @p held and said then that its own copy was @p age old. @p now: when that was read.
+     * Handles the answer of a peer whose changes have been applied to the local copy.
+     * @param askedAt the time when the request was sent
+     * @param now the time when the answer was read
+     * @param held the time for which the peer held the request
+     * @param age the staleness of the peer's copy when it answered
      */
     void told(BootTime askedAt, BootTime now, Duration held, Duration age);
-    /** Nothing until there is a proof. */
+    /** Returns the staleness of the local copy; nothing if it is unknown. */
     std::optional<Duration> age(BootTime now) const;
 
 private:
-    /** An answer that the copy has not come to yet. */
-    struct Pending
+    /** A revision of the store that the local copy has not reached yet. */
+    struct PendingRevision
     {
         BootTime askedAt {};
         std::uint64_t revision = 0;
     };
 
-    void prove(BootTime at);
+    void advanceTo(BootTime at);
 
-    std::optional<BootTime> m_provenAt;
-    std::optional<Pending> m_pending;
+    std::optional<BootTime> m_freshAt;
+    std::optional<PendingRevision> m_pending;
 };
 
 } // namespace indigoway
--- a/src/store/copyturns.cpp
+++ b/src/store/copyturns.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-/** Of the link; the rest is for callers and for news. */
-constexpr double PartOfLink = 0.5;
-/** Well below the time for which an asker waits. */
-constexpr Duration MostAhead = std::chrono::seconds(1);
+/** Fraction of the bandwidth for snapshots; the rest is left for callers and for updates. */
+constexpr double SnapshotBandwidthFraction = 0.5;
+/** Longest backlog at which a snapshot is started, well below the timeout of the receiver. */
+constexpr Duration MaxBacklog = std::chrono::seconds(1);
 
 } // namespace
 
 CopyTurns::CopyTurns(double linkBytesPerSecond)
-    : m_bytesPerSecond(linkBytesPerSecond * PartOfLink)
+    : m_bytesPerSecond(linkBytesPerSecond * SnapshotBandwidthFraction)
 { }
 
 bool CopyTurns::mayBegin(TimePoint now) const
 {
-    return m_busyUntil < now + MostAhead;
+    return m_busyUntil < now + MaxBacklog;
 }
 
 void CopyTurns::begin(TimePoint now, std::size_t bytes)
 {
-    const std::chrono::duration<double> takes(static_cast<double>(bytes) / m_bytesPerSecond);
-    m_busyUntil = std::max(m_busyUntil, now) + std::chrono::duration_cast<Duration>(takes);
+    const std::chrono::duration<double> sendTime(static_cast<double>(bytes) / m_bytesPerSecond);
+    m_busyUntil = std::max(m_busyUntil, now) + std::chrono::duration_cast<Duration>(sendTime);
 }
 
 } // namespace indigoway
--- a/src/store/copyturns.h
+++ b/src/store/copyturns.h
@@ -7,17 +7,17 @@
 namespace indigoway {
 
 /**
- * How many whole copies a node sends at a time: so many as a part of its link carries in the next
- * moment. A node that is asked for more would hold them all in memory, and send each so slowly that
- * its asker gives up and asks anew.
+ * Limits the snapshots that a node sends at the same time to what a part of its bandwidth carries
+ * in a short time. Without the limit, a node with many followers would hold all snapshots in memory
+ * and send each one so slowly that the receivers time out and retry.
  */
 class CopyTurns
 {
 public:
-    /** @p linkBytesPerSecond: of this node's VM. */
+    /** @param linkBytesPerSecond the network bandwidth of this node's VM */
     explicit CopyTurns(double linkBytesPerSecond);
 
-    /** Whether another copy would be there in time. */
+    /** Returns true if another snapshot would arrive in time. */
     bool mayBegin(TimePoint now) const;
     void begin(TimePoint now, std::size_t bytes);
 
--- a/src/store/keyvaluestore.h
+++ b/src/store/keyvaluestore.h
@@ -17,38 +17,38 @@
 {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0; ///< Of its last change.
-    std::uint64_t created = 0;  ///< Revision since which it has been there all the time.
+    std::uint64_t revision = 0; ///< Revision of the last change.
+    std::uint64_t created = 0;  ///< Revision since which the item has existed continuously.
 };
 
-/** An item was written, or removed if it has no value. */
+/** A write of an item, or its removal if it has no value. */
 struct StoredChange
 {
     std::string key;
     std::uint64_t revision = 0;
     std::optional<std::string> value;
-    std::uint64_t created = 0; ///< Of an item that was written.
+    std::uint64_t created = 0; ///< Revision since which a written item has existed.
 };
 
-/** Part of a listing. Pages are no snapshot: items may change between them. */
+/** A page of a listing. The pages are not a consistent snapshot: items may change between them. */
 struct StoredPage
 {
     std::vector<StoredItem> items;
     bool hasMore = false;
-    std::uint64_t asOf = 0; ///< The store's revision when the page was made.
+    std::uint64_t asOf = 0; ///< Revision of the store when the page was read.
 };
 
 struct StoredChanges
 {
-    std::vector<StoredChange> changes; ///< Oldest first.
-    std::uint64_t asOf = 0;            ///< Watch on from here.
+    std::vector<StoredChange> changes; ///< Changes in revision order.
+    std::uint64_t asOf = 0;            ///< Revision from which to continue the watch.
 };
 
 struct StoreWrite
 {
     std::string key;
     std::string value;
-    StoreLease lease; ///< None: stays until it is removed.
+    StoreLease lease; ///< None if the item does not expire.
 };
 
 struct GrantedLease
@@ -58,12 +58,13 @@
 };
 
 enum class StoreFault {
-    Unanswered,  ///< Down, cut off or too slow: what was asked may have been done, or be done yet.
-    Refused,     ///< Busy: nothing was done.
-    HistoryGone, ///< The changes since the revision are no longer kept: list again.
-    NoLease,     ///< The lease has ended.
-    Conflict,    ///< A condition does not hold: nothing was done.
-    Malformed,   ///< An answer that cannot be read.
+    /** Timeout or connection failure; the call may have taken effect or still take effect. */
+    Unanswered,
+    Refused,     ///< The store is overloaded; the call had no effect.
+    HistoryGone, ///< The requested revisions have been compacted; the items must be listed again.
+    NoLease,     ///< The lease has expired or been revoked.
+    Conflict,    ///< A condition does not hold; the call had no effect.
+    Malformed,   ///< The answer cannot be parsed.
 };
 
 const char *nameOf(StoreFault fault);
@@ -75,14 +76,14 @@
 {
 };
 
-/** An item must have this revision; 0: must not exist. */
+/** Requires that an item has this revision; 0: that it does not exist. */
 struct StoreCondition
 {
     std::string key;
     std::uint64_t revision = 0;
 };
 
-/** All of it is done, or none. */
+/** A transaction: the writes are applied only if all conditions hold. */
 struct StoreCommit
 {
     std::vector<StoreCondition> conditions;
@@ -90,8 +91,9 @@
 };
 
 /**
- * The key-value service that holds all that must last: linearizable, with leases and watches.
- * Every call costs its operator money. Handlers are called once, never from inside the call.
+ * A linearizable key-value service with leases and watches that holds all durable state. Each call
+ * is billed. A handler is called exactly once, and never from inside the call that it was passed
+ * to.
  */
 class KeyValueStore
 {
@@ -101,10 +103,12 @@
     KeyValueStore &operator=(const KeyValueStore &) = delete;
     virtual ~KeyValueStore() = default;
 
-    /** A page of the items under @p prefix whose keys come after @p after. */
+    /** Reads a page of the items under @p prefix whose keys sort after @p after. */
     virtual void list(const std::string &prefix, const std::string &after,
                       StoreHandler<StoredPage> handler) = 0;
-    /** Changes under @p prefix after @p revision; answers empty if there is none for @p wait. */
+    /**
+     * Waits for changes under @p prefix after @p revision; answers without changes after @p wait.
+     */
     virtual void watch(const std::string &prefix, std::uint64_t revision, Duration wait,
                        StoreHandler<StoredChanges> handler) = 0;
     virtual void commit(const StoreCommit &commit, StoreHandler<StoreDone> handler) = 0;
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -7,18 +7,21 @@
 
 namespace {
 
-/** After a failure; short, since a change must be in force everywhere within two seconds. */
-constexpr Duration FirstPause = std::chrono::milliseconds(60);
-/** Bounds the load on a store that is down to a few calls a second and node. */
-constexpr Duration LongestPause = std::chrono::milliseconds(240);
-constexpr std::uint32_t MostDoublings = 2;
 /**
- * After a watch that brought changes; those of the meantime come with the next one. Each change by
- * itself would be a call to the store, and one to each node that asks this one.
+ * Initial delay after a failure; short, since a change must take effect on all nodes within two
+ * seconds.
  */
-constexpr Duration BetweenNews = std::chrono::milliseconds(200);
+constexpr Duration FirstRetryDelay = std::chrono::milliseconds(60);
+/** Limits the calls of each node to a few per second while the store is unreachable. */
+constexpr Duration MaxRetryDelay = std::chrono::milliseconds(240);
+constexpr std::uint32_t MaxRetryDoublings = 2;
+/**
+ * Delay after a watch that returned changes, so that several changes are batched into one call to
+ * the store and one update to each follower.
+ */
+constexpr Duration BatchingDelay = std::chrono::milliseconds(200);
 
-/** Of a change that is no removal. */
+/** Converts a change that is not a removal. */
 StoredItem itemOf(const StoredChange &change)
 {
     return {change.key, *change.value, change.revision, change.created};
@@ -33,69 +36,69 @@
 
 bool Mirror::isBusy(TimePoint now) const
 {
-    return m_isCalling || (m_pausedUntil && now < *m_pausedUntil);
+    return m_isCallInFlight || (m_nextCallAt && now < *m_nextCallAt);
 }
 
 MirrorCall Mirror::beginStoreCall()
 {
-    m_isCalling = true;
-    if (m_mustList) {
-        return ListCall {m_listAfter};
+    m_isCallInFlight = true;
+    if (m_needsListing) {
+        return ListCall {m_listCursor};
     }
     return WatchCall {m_asOf};
 }
 
 std::uint64_t Mirror::beginPeerCall()
 {
-    m_isCalling = true;
+    m_isCallInFlight = true;
     return m_asOf;
 }
 
 void Mirror::listed(const StoredPage &page)
 {
-    callSucceeded();
-    if (m_listAfter.empty()) {
-        m_listed.clear();
-        m_listedFrom = page.asOf;
+    completeCall();
+    if (m_listCursor.empty()) {
+        m_listedRevisions.clear();
+        m_listingRevision = page.asOf;
         m_pagesListed = 0;
     }
     ++m_pagesListed;
     for (const StoredItem &item : page.items) {
-        m_listed[item.key] = item.revision;
+        m_listedRevisions[item.key] = item.revision;
         if (put(item)) {
-            noteHeard({item.key, item.revision, item.value, item.created});
+            recordStoreChange({item.key, item.revision, item.value, item.created});
         }
     }
     if (page.hasMore && !page.items.empty()) {
-        m_listAfter = page.items.back().key;
+        m_listCursor = page.items.back().key;
         return;
     }
-    m_listAfter.clear();
-    m_mustList = false;
-    m_heard.after = m_asOf;
-    // Another node may have told meanwhile that an item of an earlier page is gone.
-    std::erase_if(m_heard.changes,
+    m_listCursor.clear();
+    m_needsListing = false;
+    m_storeUpdate.after = m_asOf;
+    // A peer may have reported the removal of an item that an earlier page contains.
+    std::erase_if(m_storeUpdate.changes,
                   [this](const StoredChange &change) { return !m_items.contains(change.key); });
     removeUnlisted();
-    m_asOf = std::max(m_asOf, m_listedFrom);
-    m_heard.asOf = m_asOf;
+    m_asOf = std::max(m_asOf, m_listingRevision);
+    m_storeUpdate.asOf = m_asOf;
 }
 
 void Mirror::watched(TimePoint now, const StoredChanges &changes)
 {
-    callSucceeded();
-    m_heard.after = m_asOf;
+    completeCall();
+    m_storeUpdate.after = m_asOf;
     for (const StoredChange &change : changes.changes) {
-        noteHeard(change);
+        recordStoreChange(change);
     }
-    take(changes);
-    m_heard.asOf = m_asOf;
+    applyChanges(changes);
+    m_storeUpdate.asOf = m_asOf;
     if (!changes.changes.empty()) {
-        m_pausedUntil = now + BetweenNews;
+        m_nextCallAt = now + BatchingDelay;
     }
 }
 
-void Mirror::take(const StoredChanges &changes)
+void Mirror::applyChanges(const StoredChanges &changes)
 {
     for (const StoredChange &change : changes.changes) {
         if (change.value) {
@@ -116,46 +119,46 @@
         if (news.after > m_asOf) {
             return false;
         }
-        take({news.changes, news.asOf});
+        applyChanges({news.changes, news.asOf});
         return true;
     }
-    m_listed.clear();
-    m_listedFrom = news.asOf;
+    m_listedRevisions.clear();
+    m_listingRevision = news.asOf;
     for (const StoredChange &change : news.changes) {
-        m_listed[change.key] = change.revision;
+        m_listedRevisions[change.key] = change.revision;
         put(itemOf(change));
     }
     removeUnlisted();
     m_asOf = news.asOf;
-    m_mustList = false;
-    m_listAfter.clear();
-    // Those who follow this copy are told as this node was.
-    m_heard = {};
+    m_needsListing = false;
+    m_listCursor.clear();
+    // Followers get the same update unchanged, see NewsLog.
+    m_storeUpdate = {};
     return true;
 }
 
 void Mirror::failed(TimePoint now, StoreFault fault)
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     if (fault == StoreFault::HistoryGone || fault == StoreFault::Malformed) {
-        m_mustList = true;
-        m_listAfter.clear();
+        m_needsListing = true;
+        m_listCursor.clear();
     }
     if (fault == StoreFault::HistoryGone) {
-        return; // The store is well; the list is asked for at once.
+        return; // The store is reachable, so the listing starts without delay.
     }
-    const std::uint32_t doublings = std::min(m_failures, MostDoublings);
+    const std::uint32_t doublings = std::min(m_failures, MaxRetryDoublings);
     ++m_failures;
-    m_pausedUntil = now + std::min(FirstPause * (1 << doublings), LongestPause);
+    m_nextCallAt = now + std::min(FirstRetryDelay * (1 << doublings), MaxRetryDelay);
 }
 
 void Mirror::refresh()
 {
     ++m_generation;
-    m_isCalling = false;
-    m_mustList = true;
-    m_listAfter.clear();
-    m_pausedUntil.reset();
+    m_isCallInFlight = false;
+    m_needsListing = true;
+    m_listCursor.clear();
+    m_nextCallAt.reset();
 }
 
 MirrorNews Mirror::whole() const
@@ -172,20 +175,20 @@
 
 std::optional<MirrorNews> Mirror::takeHeard()
 {
-    if (m_mustList) {
-        return std::nullopt; // All pages of a listing are told together.
+    if (m_needsListing) {
+        return std::nullopt; // All pages of a listing are passed on as one update.
     }
-    MirrorNews heard = std::exchange(m_heard, {});
-    if (heard.after == 0 || heard.asOf <= heard.after) {
+    MirrorNews update = std::exchange(m_storeUpdate, {});
+    if (update.after == 0 || update.asOf <= update.after) {
         return std::nullopt;
     }
-    return heard;
+    return update;
 }
 
-void Mirror::noteHeard(const StoredChange &change)
+void Mirror::recordStoreChange(const StoredChange &change)
 {
     if (m_asOf > 0) {
-        m_heard.changes.push_back(change);
+        m_storeUpdate.changes.push_back(change);
     }
 }
 
@@ -213,24 +216,24 @@
 
 void Mirror::removeUnlisted()
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> removedKeys;
     for (const auto &[key, item] : m_items) {
-        if (!m_listed.contains(key) && item.revision <= m_listedFrom) {
-            gone.push_back(key);
+        if (!m_listedRevisions.contains(key) && item.revision <= m_listingRevision) {
+            removedKeys.push_back(key);
         }
     }
-    for (const std::string &key : gone) {
-        remove(key, m_listedFrom);
-        noteHeard({key, m_listedFrom, std::nullopt, 0});
+    for (const std::string &key : removedKeys) {
+        remove(key, m_listingRevision);
+        recordStoreChange({key, m_listingRevision, std::nullopt, 0});
     }
-    m_listed.clear();
+    m_listedRevisions.clear();
 }
 
-void Mirror::callSucceeded()
+void Mirror::completeCall()
 {
-    m_isCalling = false;
+    m_isCallInFlight = false;
     m_failures = 0;
-    m_pausedUntil.reset();
+    m_nextCallAt.reset();
 }
 
 } // namespace indigoway
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -11,7 +11,7 @@
 
 namespace indigoway {
 
-/** The next thing a mirror wants of the store. */
+/** A call to the store that a mirror needs next. */
 struct ListCall
 {
     std::string after;
@@ -22,85 +22,106 @@
 };
 using MirrorCall = std::variant<ListCall, WatchCall>;
 
-/** What one node tells another of its copy. */
+/** A change of the mirrored items as one node sends it to another. */
 struct MirrorNews
 {
-    std::uint64_t after = 0; ///< A copy of this revision or a later one can take it in.
-    std::uint64_t asOf = 0;  ///< What such a copy is as of then.
-    bool isWhole = false;    ///< All items there are; else only what has changed.
+    std::uint64_t after = 0; ///< Lowest revision of a mirror that can apply it.
+    std::uint64_t asOf = 0;  ///< Revision of the mirror after it is applied.
+    bool isWhole = false;    ///< True if it holds all items, otherwise only the changed ones.
     std::vector<StoredChange> changes;
 };
 
 /**
- * This node's copy of the items under one prefix of the store, and the decision what to ask the
- * store next to keep it. Lists once, then watches; lists again where the store has dropped the
- * history in between. A copy is never taken back to an older revision, whoever brings it.
+ * Keeps a local copy of the items under one prefix of the store and decides which call updates it
+ * next. Lists the items once, then watches for changes, and lists them again if the store has
+ * compacted the revisions in between. Neither the store nor a peer can move the copy back to an
+ * older revision.
  */
 class Mirror
 {
 public:
-    /** @p item is null where it is gone; @p revision is of the change. */
+    /**
+     * Called for each change.
+     * @param item the new item; null if it was removed
+     * @param revision the revision of the change
+     */
     using ChangeHandler =
         std::function<void(const std::string &key, const StoredItem *item, std::uint64_t revision)>;
 
     Mirror(std::string prefix, ChangeHandler handler);
 
     const std::string &prefix() const { return m_prefix; }
-    /** Whether a call is under way, or a pause lasts after one that failed. */
+    /** Returns true while a call is in flight or the delay after a call lasts. */
     bool isBusy(TimePoint now) const;
-    /** What to ask the store; a call is under way from now on. */
+    /** Returns the next call to the store and marks it as in flight. */
     MirrorCall beginStoreCall();
-    /** A call to another node is under way from now on; the revision to ask from. */
+    /**
+     * Marks a call to a peer as in flight.
+     * @return the revision from which to request changes
+     */
     std::uint64_t beginPeerCall();
 
     void listed(const StoredPage &page);
-    /** Changes that a watch of the store has brought. */
+    /** Applies the result of a watch. */
     void watched(TimePoint now, const StoredChanges &changes);
-    /** A call to another node has been answered. */
-    void peerAnswered() { callSucceeded(); }
-    /** A node has told. False if that does not follow on this copy; then nothing is taken in. */
+    /** Marks a call to a peer as completed. */
+    void peerAnswered() { completeCall(); }
+    /**
+     * Applies an update from a peer.
+     * @return false, without any effect, if the update begins after the revision of this copy
+     */
     bool told(const MirrorNews &news);
     void failed(TimePoint now, StoreFault fault);
-    /** Lists anew, whatever is under way: this process stood still and may have missed changes. */
+    /**
+     * Starts a new listing and abandons any call in flight, since changes may have been missed
+     * while the process was suspended.
+     */
     void refresh();
-    /** Changes with refresh(): results of calls from before it are not to be handed in. */
+    /**
+     * Returns a number that changes with each refresh(); results of calls from an earlier
+     * generation must be discarded.
+     */
     std::uint64_t generation() const { return m_generation; }
 
-    /** Whether all items are being listed, or will be next. */
-    bool isListing() const { return m_mustList; }
-    /** Pages of the listing that is under way. */
+    /** Returns true while a listing is in progress or due next. */
+    bool isListing() const { return m_needsListing; }
+    /** Returns the number of pages read by the current listing. */
     std::size_t pagesListed() const { return m_pagesListed; }
-    /** Whether all items are known as of some revision. */
+    /** Returns true once all items are known as of some revision. */
     bool isKnown() const { return m_asOf > 0; }
     std::uint64_t asOf() const { return m_asOf; }
-    /** All items there are. */
+    /** Returns an update with all items. */
     MirrorNews whole() const;
-    /** What the store has told since this was asked last; nothing if no copy can follow by it. */
+    /**
+     * Returns and clears the changes from the store since the last call; nothing if there are none
+     * or a listing is in progress.
+     */
     std::optional<MirrorNews> takeHeard();
 
 private:
-    void take(const StoredChanges &changes);
-    /** False if nothing is new. */
+    void applyChanges(const StoredChanges &changes);
+    /** Returns false if @p item is not newer than the known one. */
     bool put(const StoredItem &item);
     bool remove(const std::string &key, std::uint64_t revision);
-    void noteHeard(const StoredChange &change);
+    void recordStoreChange(const StoredChange &change);
     void removeUnlisted();
-    void callSucceeded();
+    void completeCall();
 
     std::string m_prefix;
     ChangeHandler m_handler;
     std::map<std::string, StoredItem> m_items;
     std::uint64_t m_asOf = 0;
-    bool m_isCalling = false;
+    bool m_isCallInFlight = false;
     std::uint64_t m_generation = 0;
-    bool m_mustList = true;
-    std::string m_listAfter;
-    std::uint64_t m_listedFrom = 0; ///< Revision of the first page; changes after it are watched.
+    bool m_needsListing = true;
+    std::string m_listCursor;
+    std::uint64_t m_listingRevision =
+        0; ///< Revision of the first page; the watch continues from here.
     std::size_t m_pagesListed = 0;
-    std::map<std::string, std::uint64_t> m_listed;
-    std::optional<TimePoint> m_pausedUntil;
+    std::map<std::string, std::uint64_t> m_listedRevisions;
+    std::optional<TimePoint> m_nextCallAt;
     std::uint32_t m_failures = 0;
-    MirrorNews m_heard; ///< Of the store, while it is not taken.
+    MirrorNews m_storeUpdate; ///< Changes from the store that takeHeard() has not returned yet.
 };
 
 } // namespace indigoway
--- a/src/store/newslog.cpp
+++ b/src/store/newslog.cpp
@@ -6,93 +6,93 @@
 
 void NewsLog::startAt(std::uint64_t revision)
 {
-    m_blocks.clear();
-    m_keptBytes = 0;
-    m_whole.reset();
-    m_from = revision;
-    m_upTo = revision;
+    m_updates.clear();
+    m_logBytes = 0;
+    m_snapshot.reset();
+    m_startRevision = revision;
+    m_asOf = revision;
 }
 
-void NewsLog::add(NewsBlock block)
+void NewsLog::add(NewsBlock update)
 {
-    if (block.upTo <= m_upTo) {
+    if (update.upTo <= m_asOf) {
         return;
     }
-    if (block.isWhole) {
-        keepWhole(std::move(block));
+    if (update.isWhole) {
+        cacheSnapshot(std::move(update));
         return;
     }
-    if (block.after > m_upTo) {
-        startAt(block.after);
+    if (update.after > m_asOf) {
+        startAt(update.after);
     }
-    m_upTo = block.upTo;
-    m_keptBytes += block.bytes->size();
-    m_blocks.push_back(std::move(block));
-    while (m_keptBytes > MostKept && m_blocks.size() > 1) {
-        m_keptBytes -= m_blocks.front().bytes->size();
-        m_from = m_blocks.front().upTo;
-        m_blocks.pop_front();
+    m_asOf = update.upTo;
+    m_logBytes += update.bytes->size();
+    m_updates.push_back(std::move(update));
+    while (m_logBytes > MaxLogBytes && m_updates.size() > 1) {
+        m_logBytes -= m_updates.front().bytes->size();
+        m_startRevision = m_updates.front().upTo;
+        m_updates.pop_front();
     }
-    if (m_whole && m_whole->upTo < m_from) {
-        m_whole.reset();
+    if (m_snapshot && m_snapshot->upTo < m_startRevision) {
+        m_snapshot.reset();
     }
 }
 
-void NewsLog::keepWhole(NewsBlock block)
+void NewsLog::cacheSnapshot(NewsBlock update)
 {
-    startAt(block.upTo);
-    m_whole = std::move(block);
+    startAt(update.upTo);
+    m_snapshot = std::move(update);
 }
 
 bool NewsLog::needsWhole(std::uint64_t revision) const
 {
-    return revision == 0 || revision < m_from;
+    return revision == 0 || revision < m_startRevision;
 }
 
-std::vector<NewsBlock> NewsLog::since(std::uint64_t revision, const EncodeWhole &encodeWhole)
+std::vector<NewsBlock> NewsLog::since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot)
 {
-    std::vector<NewsBlock> told;
-    if (revision >= m_upTo) {
-        return told;
+    std::vector<NewsBlock> updates;
+    if (revision >= m_asOf) {
+        return updates;
     }
     if (!needsWhole(revision)) {
-        append(told, revision);
-        return told;
+        appendUpdates(updates, revision);
+        return updates;
     }
-    if (isWholeWorn()) {
-        m_whole = encodeWhole();
+    if (isSnapshotOutdated()) {
+        m_snapshot = encodeSnapshot();
     }
-    told.push_back(*m_whole);
-    append(told, m_whole->upTo);
-    return told;
+    updates.push_back(*m_snapshot);
+    appendUpdates(updates, m_snapshot->upTo);
+    return updates;
 }
 
-bool NewsLog::isWholeWorn() const
+bool NewsLog::isSnapshotOutdated() const
 {
-    return !m_whole || bytesAfter(m_whole->upTo) > m_whole->bytes->size() / 2;
+    return !m_snapshot || bytesAfter(m_snapshot->upTo) > m_snapshot->bytes->size() / 2;
 }
 
 std::size_t NewsLog::bytesAfter(std::uint64_t revision) const
 {
     std::size_t bytes = 0;
-    for (const NewsBlock &block : m_blocks) {
-        bytes += block.upTo > revision ? block.bytes->size() : 0;
+    for (const NewsBlock &update : m_updates) {
+        bytes += update.upTo > revision ? update.bytes->size() : 0;
     }
     return bytes;
 }
 
-void NewsLog::append(std::vector<NewsBlock> &told, std::uint64_t revision) const
+void NewsLog::appendUpdates(std::vector<NewsBlock> &updates, std::uint64_t revision) const
 {
     std::size_t bytes = 0;
-    for (const NewsBlock &block : m_blocks) {
-        if (block.upTo <= revision) {
+    for (const NewsBlock &update : m_updates) {
+        if (update.upTo <= revision) {
             continue;
         }
-        bytes += block.bytes->size();
-        if (bytes > MostTold && bytes > block.bytes->size()) {
+        bytes += update.bytes->size();
+        if (bytes > MaxAnswerBytes && bytes > update.bytes->size()) {
             return;
         }
-        told.push_back(block);
+        updates.push_back(update);
     }
 }
 
--- a/src/store/newslog.h
+++ b/src/store/newslog.h
@@ -11,54 +11,62 @@
 
 namespace indigoway {
 
-/** Changes of a copy of the store, encoded once and shared by all who are sent them. */
+/** An encoded update of the mirrored items, shared by all answers that contain it. */
 struct NewsBlock
 {
-    std::uint64_t after = 0; ///< A copy of this revision or a later one can take it in.
-    std::uint64_t upTo = 0;  ///< What such a copy is as of then.
-    bool isWhole = false;    ///< All items there are: any copy can take it in.
+    std::uint64_t after = 0; ///< Lowest revision of a mirror that can apply it.
+    std::uint64_t upTo = 0;  ///< Revision of the mirror after it is applied.
+    bool isWhole = false;    ///< True if it holds all items, so that any mirror can apply it.
     std::shared_ptr<const std::string> bytes;
 };
 
 /**
- * The latest changes of this node's copy, as other nodes are told of them. What comes from another
- * node is passed on as it came. So the cost of a change is one encoding, however many nodes there
- * are, and bytes in proportion to those who are told.
+ * Keeps the latest updates of the local copy in encoded form, to be sent to other nodes. Updates
+ * from another node are passed on unchanged, so each change is encoded only once in the fleet.
  */
 class NewsLog
 {
 public:
-    /** Encodes this node's whole copy. */
-    using EncodeWhole = std::function<NewsBlock()>;
+    /** Encodes all items of the local copy. */
+    using EncodeSnapshot = std::function<NewsBlock()>;
 
-    /** Changes that are kept; a node that is further behind gets the whole. */
-    static constexpr std::size_t MostKept = std::size_t {1024} * 1024;
-    /** Of changes in one answer, unless one block alone is larger; the rest is asked for next. */
-    static constexpr std::size_t MostTold = std::size_t {64} * 1024;
+    /**
+     * The maximum size of the kept updates in bytes; a node that is further behind gets a snapshot.
+     */
+    static constexpr std::size_t MaxLogBytes = std::size_t {1024} * 1024;
+    /**
+     * The maximum size of the updates in one answer, unless a single one is larger; the receiver
+     * requests the rest afterwards.
+     */
+    static constexpr std::size_t MaxAnswerBytes = std::size_t {64} * 1024;
 
-    /** The copy has come to @p revision in a way that is not told block by block. */
+    /** Clears the log; the local copy has reached @p revision without an encoded update. */
     void startAt(std::uint64_t revision);
-    /** What follows on the blocks before it; where there is a gap, it begins anew. */
-    void add(NewsBlock block);
-    /** Whether a copy of @p revision can only be given the whole. */
+    /** Appends an update. If it leaves a gap after the previous ones, the log restarts with it. */
+    void add(NewsBlock update);
+    /** Returns true if a mirror at @p revision can only be updated by a snapshot. */
     bool needsWhole(std::uint64_t revision) const;
-    /** What brings a copy of @p revision forward, in order; empty if there is nothing new. */
-    std::vector<NewsBlock> since(std::uint64_t revision, const EncodeWhole &encodeWhole);
-    std::uint64_t upTo() const { return m_upTo; }
-    std::size_t keptBytes() const { return m_keptBytes; }
+    /** Returns the updates that follow @p revision in order, after a snapshot if one is needed;
+     * empty if there are none. */
+    std::vector<NewsBlock> since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot);
+    std::uint64_t upTo() const { return m_asOf; }
+    std::size_t logBytes() const { return m_logBytes; }
 
 private:
-    void keepWhole(NewsBlock block);
-    /** A whole and what follows it are used until encoding it anew makes an answer shorter. */
-    bool isWholeWorn() const;
+    void cacheSnapshot(NewsBlock update);
+    /**
+     * Returns true if there is no cached snapshot, or if the updates after it are so long that a
+     * new one makes the answer shorter.
+     */
+    bool isSnapshotOutdated() const;
     std::size_t bytesAfter(std::uint64_t revision) const;
-    void append(std::vector<NewsBlock> &told, std::uint64_t revision) const;
+    void appendUpdates(std::vector<NewsBlock> &updates, std::uint64_t revision) const;
 
-    std::deque<NewsBlock> m_blocks;
-    std::size_t m_keptBytes = 0; ///< Of m_blocks.
-    std::uint64_t m_from = 0;    ///< Changes after this revision are all in m_blocks.
-    std::uint64_t m_upTo = 0;
-    std::optional<NewsBlock> m_whole;
+    std::deque<NewsBlock> m_updates;
+    std::size_t m_logBytes = 0;        ///< Size of m_updates in bytes.
+    std::uint64_t m_startRevision = 0; ///< Revision after which m_updates holds all changes.
+    std::uint64_t m_asOf = 0;
+    std::optional<NewsBlock> m_snapshot;
 };
 
 } // namespace indigoway
--- a/tests/admission/admissiontest.cpp
+++ b/tests/admission/admissiontest.cpp
@@ -28,14 +28,14 @@
     return RouteTable(std::move(state));
 }
 
-Admission judge(const RouteTable &table, const char *host, std::optional<std::string> key,
-                std::optional<Duration> age = 1s, std::optional<Duration> most = 5s)
+Admission admitWith(const RouteTable &table, const char *host, std::optional<std::string> key,
+                    std::optional<Duration> copyAge = 1s, std::optional<Duration> maxCopyAge = 5s)
 {
     Credentials credentials;
     if (key) {
         credentials.key = digestOf(*key);
     }
-    return admit(table, *table.find(host, "/"), credentials, age, most);
+    return admit(table, *table.find(host, "/"), credentials, copyAge, maxCopyAge);
 }
 
 std::string organisationOf(const Admission &admission)
@@ -50,70 +50,69 @@
 class AdmissionTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AdmissionTest);
-    CPPUNIT_TEST(aKeyNamesItsOrganisation);
-    CPPUNIT_TEST(withoutAKnownKeyNothingIsServed);
-    CPPUNIT_TEST(openRoutesWantNoKey);
-    CPPUNIT_TEST(withoutOrganisationsNobodyWantsKeys);
-    CPPUNIT_TEST(anOldCopyDecidesNothing);
-    CPPUNIT_TEST(whereRevocationHasNoBoundAnyCopyWillDo);
+    CPPUNIT_TEST(keyIdentifiesOrganisation);
+    CPPUNIT_TEST(rejectsUnknownAndMissingKeys);
+    CPPUNIT_TEST(openRoutesNeedNoKey);
+    CPPUNIT_TEST(noKeysWithoutOrganisations);
+    CPPUNIT_TEST(staleCopyDecidesNothing);
+    CPPUNIT_TEST(unlimitedAgeAcceptsAnyCopy);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aKeyNamesItsOrganisation()
+    void keyIdentifiesOrganisation()
     {
         const RouteTable table = tableWith(true);
-        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(judge(table, "closed", "k1")));
-        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(judge(table, "closed", "k2")));
+        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(admitWith(table, "closed", "k1")));
+        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(admitWith(table, "closed", "k2")));
     }
 
-    void withoutAKnownKeyNothingIsServed()
+    void rejectsUnknownAndMissingKeys()
     {
         const RouteTable table = tableWith(true);
         for (const auto &key : {std::optional<std::string>("k3"), std::optional<std::string>(""),
                                 std::optional<std::string>()}) {
-            CPPUNIT_ASSERT(std::holds_alternative<UnknownKey>(judge(table, "closed", key)));
+            CPPUNIT_ASSERT(std::holds_alternative<UnknownKey>(admitWith(table, "closed", key)));
         }
     }
 
-    void openRoutesWantNoKey()
+    void openRoutesNeedNoKey()
     {
         const RouteTable table = tableWith(true);
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(judge(table, "open", {})));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(judge(table, "open", "k3")));
-        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(judge(table, "open", "k1")));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(admitWith(table, "open", {})));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(admitWith(table, "open", "k3")));
+        CPPUNIT_ASSERT_EQUAL(std::string("o1"), organisationOf(admitWith(table, "open", "k1")));
         CPPUNIT_ASSERT_EQUAL(std::string("none"),
-                             organisationOf(judge(table, "open", {}, std::nullopt)));
+                             organisationOf(admitWith(table, "open", {}, std::nullopt)));
     }
 
-    void withoutOrganisationsNobodyWantsKeys()
+    void noKeysWithoutOrganisations()
     {
         const RouteTable table = tableWith(false);
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(judge(table, "closed", {})));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), organisationOf(admitWith(table, "closed", {})));
         CPPUNIT_ASSERT_EQUAL(std::string("none"),
-                             organisationOf(judge(table, "closed", "k1", std::nullopt)));
+                             organisationOf(admitWith(table, "closed", "k1", std::nullopt)));
     }
 
-    // A node has not heard of the store for longer than a key may outlive its end. The key it
-    // knows may have been taken away, and one it does not know may have been added: the caller is
-    // told to come back, and neither served nor told that its key is unknown.
-    void anOldCopyDecidesNothing()
+    // Guards against a stale copy that accepts a revoked key or rejects a new one.
+    void staleCopyDecidesNothing()
     {
         const RouteTable table = tableWith(true);
         for (const char *key : {"k1", "k3"}) {
-            CPPUNIT_ASSERT(std::holds_alternative<CopyTooOld>(judge(table, "closed", key, 5001ms)));
             CPPUNIT_ASSERT(
-                std::holds_alternative<CopyTooOld>(judge(table, "closed", key, std::nullopt)));
+                std::holds_alternative<CopyTooOld>(admitWith(table, "closed", key, 5001ms)));
+            CPPUNIT_ASSERT(
+                std::holds_alternative<CopyTooOld>(admitWith(table, "closed", key, std::nullopt)));
         }
         CPPUNIT_ASSERT_EQUAL(std::string("o1"),
-                             organisationOf(judge(table, "closed", "k1", 5000ms)));
+                             organisationOf(admitWith(table, "closed", "k1", 5000ms)));
     }
 
-    void whereRevocationHasNoBoundAnyCopyWillDo()
+    void unlimitedAgeAcceptsAnyCopy()
     {
         const RouteTable table = tableWith(true);
         CPPUNIT_ASSERT_EQUAL(
             std::string("o1"),
-            organisationOf(judge(table, "closed", "k1", std::nullopt, std::nullopt)));
+            organisationOf(admitWith(table, "closed", "k1", std::nullopt, std::nullopt)));
     }
 };
 
--- a/tests/fleet/crashpublishertest.cpp
+++ b/tests/fleet/crashpublishertest.cpp
@@ -23,16 +23,16 @@
 class CrashPublisherTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashPublisherTest);
-    CPPUNIT_TEST(writesUnderALeaseOfItsOwn);
-    CPPUNIT_TEST(takesAnotherLeaseInTime);
-    CPPUNIT_TEST(asksAStoreThatIsAwayEverMoreRarely);
-    CPPUNIT_TEST(anAnswerReplacesWhatWasNotWritten);
-    CPPUNIT_TEST(keepsABoundedNumber);
-    CPPUNIT_TEST(readsItsOwnKeysOnly);
+    CPPUNIT_TEST(writesNotesUnderOwnLease);
+    CPPUNIT_TEST(rotatesLeaseBeforeItExpires);
+    CPPUNIT_TEST(backsOffWhileStoreIsUnreachable);
+    CPPUNIT_TEST(resetReplacesQueuedCrash);
+    CPPUNIT_TEST(boundsQueueAndBatch);
+    CPPUNIT_TEST(rejectsForeignKeys);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void writesUnderALeaseOfItsOwn()
+    void writesNotesUnderOwnLease()
     {
         CrashPublisher publisher;
         CPPUNIT_ASSERT(!publisher.nextCall(at(0)));
@@ -51,8 +51,9 @@
                              std::get<WriteNotesCall>(*publisher.nextCall(at(10))).notes.size());
     }
 
-    // A note that is written shortly before its lease ends would vanish while nodes still need it.
-    void takesAnotherLeaseInTime()
+    // Guards against a note that expires too early because it was written late in its lease's
+    // lifetime.
+    void rotatesLeaseBeforeItExpires()
     {
         CrashPublisher publisher;
         publisher.add(note("a", 1));
@@ -65,7 +66,7 @@
             std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(121'000))));
     }
 
-    void asksAStoreThatIsAwayEverMoreRarely()
+    void backsOffWhileStoreIsUnreachable()
     {
         CrashPublisher publisher;
         publisher.add(note("a", 1));
@@ -86,9 +87,9 @@
         CPPUNIT_ASSERT(std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(20'008))));
     }
 
-    // The store is away while a content is lost in a crash and then answered. Written in that
-    // order later, with the crash as the newer one, it would stand accused.
-    void anAnswerReplacesWhatWasNotWritten()
+    // Guards against a crash that is written after the successful answer that followed it, and so
+    // counts as a newer one.
+    void resetReplacesQueuedCrash()
     {
         CrashPublisher publisher;
         publisher.add(note("a", 1));
@@ -102,21 +103,21 @@
         CPPUNIT_ASSERT(write.notes == (std::vector {note("b", 1), note("a", 0)}));
     }
 
-    void keepsABoundedNumber()
+    void boundsQueueAndBatch()
     {
         CrashPublisher publisher;
         for (int i = 0; i < 1'000; ++i) {
             publisher.add(note("c" + std::to_string(i), 1));
         }
-        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MostWaiting, publisher.waiting());
+        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MaxQueuedNotes, publisher.waiting());
         publisher.nextCall(at(0));
         publisher.leaseGranted(at(0), StoreLease(7));
-        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MostAtOnce,
+        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MaxBatchSize,
                              std::get<WriteNotesCall>(*publisher.nextCall(at(0))).notes.size());
     }
 
-    // Anything may stand in the store: what is none of these keys says nothing of any content.
-    void readsItsOwnKeysOnly()
+    // Guards against keys of other writers that are taken for crash notes.
+    void rejectsForeignKeys()
     {
         const CrashNote one = note("0af3", 2);
         CPPUNIT_ASSERT(crashNoteIn(Prefix, crashKey(Prefix, one)) == one);
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/noderostertest.cpp
@@ -25,8 +25,8 @@
     return {StoreLease(number), lifetime};
 }
 
-/** Calls of one node in a minute, in a fleet of @p nodes that it knows from the start. */
-int callsInAMinute(std::size_t nodes)
+/** Returns the calls per minute of one node in a fleet of @p nodes. */
+int callsPerMinute(std::size_t nodes)
 {
     constexpr int Minute = 60'000;
     NodeAnnouncer announcer;
@@ -59,20 +59,20 @@
 class NodeRosterTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(NodeRosterTest);
-    CPPUNIT_TEST(entriesSurviveTheirEncoding);
-    CPPUNIT_TEST(aLeavingNodeNamesTheOthersOnly);
-    CPPUNIT_TEST(aVanishedNodeIsKeptForAMoment);
-    CPPUNIT_TEST(ranksFollowWhatIsAnnounced);
-    CPPUNIT_TEST(answersNoMoreThanAsked);
-    CPPUNIT_TEST(anEntryIsWrittenAgainWhenItIsLost);
-    CPPUNIT_TEST(asksAStoreThatIsAwayEverMoreRarely);
-    CPPUNIT_TEST(renewalsDoNotGrowWithTheFleet);
-    CPPUNIT_TEST(aLeaseIsMovedAsTheFleetGrows);
-    CPPUNIT_TEST(aNodeThatLeavesWritesNothing);
+    CPPUNIT_TEST(entryRoundTrip);
+    CPPUNIT_TEST(leavingNodeListsOnlyOthers);
+    CPPUNIT_TEST(withdrawnNodeIsRetained);
+    CPPUNIT_TEST(ranksFollowAnnouncements);
+    CPPUNIT_TEST(boundsCallerAddresses);
+    CPPUNIT_TEST(rewritesLostEntry);
+    CPPUNIT_TEST(backsOffWhileStoreIsUnreachable);
+    CPPUNIT_TEST(renewalRateIsIndependentOfFleetSize);
+    CPPUNIT_TEST(replacesLeaseAsFleetGrows);
+    CPPUNIT_TEST(leavingNodeWritesNothing);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void entriesSurviveTheirEncoding()
+    void entryRoundTrip()
     {
         const auto decoded = decodeNodeEntry(encodeNodeEntry(node("n1")));
         CPPUNIT_ASSERT(decoded.has_value());
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT(!decodeNodeEntry("no json").has_value());
     }
 
-    void aLeavingNodeNamesTheOthersOnly()
+    void leavingNodeListsOnlyOthers()
     {
         NodeRoster roster(node("self"));
         roster.announce("k/self", node("self"));
@@ -93,9 +93,9 @@
         CPPUNIT_ASSERT(contains(addresses, "b:1"));
     }
 
-    // The store was away, its leases ran out, and all nodes' entries vanish at its return. An
-    // answer without them would send every caller to the one node that answers.
-    void aVanishedNodeIsKeptForAMoment()
+    // Guards against an answer without the other nodes when all leases have expired in a store
+    // outage.
+    void withdrawnNodeIsRetained()
     {
         NodeRoster roster(node("self"));
         roster.announce("k/b", node("b"));
@@ -106,14 +106,14 @@
     }
 
     /** Guards against a node that is kept in its domain after it has gone or has changed. */
-    void ranksFollowWhatIsAnnounced()
+    void ranksFollowAnnouncements()
     {
         NodeRoster roster(node("self"));
         NodeEntry large = node("z");
         large.processors = 0.5;
         roster.announce("k/z", large);
         roster.announce("k/b", node("b"));
-        const RankedNodes &ranked = roster.inDomain(DomainName("d"));
+        const RankedNodes &ranked = roster.nodesInDomain(DomainName("d"));
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("z"));
         large.processors = 0;
         roster.announce("k/z", large);
@@ -129,7 +129,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, roster.members().size());
     }
 
-    void answersNoMoreThanAsked()
+    void boundsCallerAddresses()
     {
         NodeRoster roster(node("self"));
         for (int i = 0; i < 100; ++i) {
@@ -139,9 +139,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {64}, roster.callerAddresses(at(0), 64, 9).size());
     }
 
-    // The lease of a healthy node ends while the store is away, or someone removes its entry.
-    // Callers are not sent to it any more, and it would idle for good.
-    void anEntryIsWrittenAgainWhenItIsLost()
+    // Guards against a healthy node that stays without an entry after its lease expired or its
+    // entry was removed.
+    void rewritesLostEntry()
     {
         NodeAnnouncer announcer;
         CPPUNIT_ASSERT(std::holds_alternative<GrantLeaseCall>(*announcer.nextCall(at(0))));
@@ -160,10 +160,9 @@
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'004))));
     }
 
-    // The store is busy for eight seconds and refuses every call; each is paid for all the same.
-    // Two hundred nodes that ask four times a second make six thousand calls for nothing. Once
-    // another node has heard that the store is back, this one asks at once.
-    void asksAStoreThatIsAwayEverMoreRarely()
+    // Guards against a high rate of billed calls to a store that refuses them, and against a delay
+    // after it has recovered.
+    void backsOffWhileStoreIsUnreachable()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
@@ -184,17 +183,17 @@
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(time))));
     }
 
-    /** Guards against a store whose calls are mostly renewals of leases of a large fleet. */
-    void renewalsDoNotGrowWithTheFleet()
+    /** Guards against a renewal rate that grows with the fleet. */
+    void renewalRateIsIndependentOfFleetSize()
     {
-        const std::size_t ofThousand = std::size_t {1'000} * callsInAMinute(1'000);
-        const std::size_t ofTwoThousand = std::size_t {2'000} * callsInAMinute(2'000);
-        CPPUNIT_ASSERT(ofTwoThousand < ofThousand * 5 / 4);
-        CPPUNIT_ASSERT_EQUAL(callsInAMinute(7), callsInAMinute(200));
+        const std::size_t callsOfThousand = std::size_t {1'000} * callsPerMinute(1'000);
+        const std::size_t callsOfTwoThousand = std::size_t {2'000} * callsPerMinute(2'000);
+        CPPUNIT_ASSERT(callsOfTwoThousand < callsOfThousand * 5 / 4);
+        CPPUNIT_ASSERT_EQUAL(callsPerMinute(7), callsPerMinute(200));
     }
 
-    /** Guards against an entry that vanishes while its node moves to another lease. */
-    void aLeaseIsMovedAsTheFleetGrows()
+    /** Guards against an entry that expires while its node replaces the lease. */
+    void replacesLeaseAsFleetGrows()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
@@ -208,7 +207,7 @@
         const auto grant = announcer.nextCall(at(1'800));
         CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime
                        == NodeAnnouncer::LeastLifetime * 4);
-        // The grant fails: the lease that there is must be renewed in time.
+        // After a failed grant the existing lease must still be renewed in time.
         announcer.failed(at(1'801), StoreFault::Refused);
         announcer.setWanted(NodeAnnouncer::LeastLifetime);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(2'100))));
@@ -220,7 +219,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {6}, std::get<PutEntryCall>(*put).lease.value());
     }
 
-    void aNodeThatLeavesWritesNothing()
+    void leavingNodeWritesNothing()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
--- a/tests/fleet/serverdirectorytest.cpp
+++ b/tests/fleet/serverdirectorytest.cpp
@@ -35,16 +35,16 @@
 class ServerDirectoryTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerDirectoryTest);
-    CPPUNIT_TEST(aDrainingServerGetsNoNewWork);
-    CPPUNIT_TEST(aVanishedServerIsALastResort);
-    CPPUNIT_TEST(lapsedEntriesComeBack);
-    CPPUNIT_TEST(aServerMayChangeItsService);
-    CPPUNIT_TEST(aNewLifeEndsTheEarlierOne);
-    CPPUNIT_TEST(aServerThatIsRemovedIsNoLastResort);
+    CPPUNIT_TEST(drainingServerIsNoCandidate);
+    CPPUNIT_TEST(withdrawnServerIsLastResort);
+    CPPUNIT_TEST(expiredEntriesReturn);
+    CPPUNIT_TEST(serverChangesService);
+    CPPUNIT_TEST(newIncarnationReplacesEarlierOne);
+    CPPUNIT_TEST(removedServerIsNoLastResort);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aDrainingServerGetsNoNewWork()
+    void drainingServerIsNoCandidate()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -55,9 +55,9 @@
         CPPUNIT_ASSERT(directory.standing(ServerName("b"), at(0)) == Standing::Leaving);
     }
 
-    // A server starts again under its id while its old entry has just lapsed. A request that found
-    // the earlier life as a last resort would be sent with what the new one does not hold.
-    void aNewLifeEndsTheEarlierOne()
+    // Guards against requests to the earlier incarnation of a server, kept as a last resort, after
+    // the server has restarted.
+    void newIncarnationReplacesEarlierOne()
     {
         ServerDirectory directory;
         AnnouncedServer first = server("a@1");
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(directory.nameOf("a") == ServerName("a@2"));
     }
 
-    void aServerThatIsRemovedIsNoLastResort()
+    void removedServerIsNoLastResort()
     {
         ServerDirectory directory;
         AnnouncedServer one = server("a");
@@ -87,7 +87,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(0)));
     }
 
-    void aVanishedServerIsALastResort()
+    void withdrawnServerIsLastResort()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -96,10 +96,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(10)));
     }
 
-    // The store was away and its leases ran out: on its return all servers' entries vanish in one
-    // moment and are back within two seconds. Callers of that moment would all be refused, though
-    // every server is well.
-    void lapsedEntriesComeBack()
+    // Guards against refused requests when the entries of all healthy servers expire in a store
+    // outage.
+    void expiredEntriesReturn()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -114,7 +113,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.size());
     }
 
-    void aServerMayChangeItsService()
+    void serverChangesService()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
--- a/tests/fleet/upstreamchoicetest.cpp
+++ b/tests/fleet/upstreamchoicetest.cpp
@@ -19,7 +19,7 @@
     return {NodeName(name), DomainName(domain), name + ":1", name + ":2"};
 }
 
-/** Three domains with @p each nodes, named by domain and number. */
+/** Returns three domains with @p each nodes, named by domain and number. */
 std::vector<NodeEntry> fleet(int each)
 {
     std::vector<NodeEntry> nodes;
@@ -61,16 +61,16 @@
     return upstream ? upstream->peer.value_or("store") : "nobody";
 }
 
-/** Nodes that ask each node of @p members, and the store. */
-std::map<std::string, std::size_t> askersOf(const std::vector<NodeEntry> &members)
+/** Returns the number of nodes that follow each node of @p members and the store. */
+std::map<std::string, std::size_t> followerCounts(const std::vector<NodeEntry> &members)
 {
-    std::map<std::string, std::size_t> askers;
+    std::map<std::string, std::size_t> followers;
     const NodeRoster roster = rosterOf(members);
     for (const NodeEntry &member : members) {
         UpstreamChoice choice(member, 0);
-        ++askers[choice.choose(at(0), roster, {}).peer.value_or("store")];
+        ++followers[choice.choose(at(0), roster, {}).peer.value_or("store")];
     }
-    return askers;
+    return followers;
 }
 
 } // namespace
@@ -78,28 +78,28 @@
 class UpstreamChoiceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(UpstreamChoiceTest);
-    CPPUNIT_TEST(oneNodeOfEachDomainAsksTheStore);
-    CPPUNIT_TEST(theLargestNodeOfADomainWatches);
-    CPPUNIT_TEST(nodesBelowANodeDoNotGrowWithTheFleet);
-    CPPUNIT_TEST(newsComeDownInFewSteps);
-    CPPUNIT_TEST(aNodeThatFailsGoesFurtherUp);
-    CPPUNIT_TEST(aWatcherTriesAgainAtOnce);
-    CPPUNIT_TEST(aNodeThatStaysGoneIsAskedEverMoreRarely);
-    CPPUNIT_TEST(onlySeedsListTheWholeStore);
-    CPPUNIT_TEST(aNodeWithoutACopyListsTheStoreInTheEnd);
-    CPPUNIT_TEST(goesWhereABusyNodeRefersIt);
-    CPPUNIT_TEST(aNewNodeAsksTheStore);
-    CPPUNIT_TEST(aNodeThatKnowsNothingAsksTheStore);
-    CPPUNIT_TEST(aDeadWatcherIsLeft);
-    CPPUNIT_TEST(otherWatchersMayBeTurnedAwayToo);
-    CPPUNIT_TEST(aNodeTurnedAwayAsksOthersAndTriesAgain);
-    CPPUNIT_TEST(onlyWatchersGoOnAskingAStoreThatIsAway);
+    CPPUNIT_TEST(oneNodePerDomainFollowsStore);
+    CPPUNIT_TEST(largestNodeIsWatcher);
+    CPPUNIT_TEST(childrenAreBounded);
+    CPPUNIT_TEST(treeIsShallow);
+    CPPUNIT_TEST(repeatedFailuresGoFurtherUp);
+    CPPUNIT_TEST(watcherRetriesSoon);
+    CPPUNIT_TEST(backsOffFromLostNode);
+    CPPUNIT_TEST(onlySeedsListStoreAtOnce);
+    CPPUNIT_TEST(listsStoreAfterSnapshotTimeout);
+    CPPUNIT_TEST(followsReferrals);
+    CPPUNIT_TEST(newNodeCallsStore);
+    CPPUNIT_TEST(nodeWithoutRosterFallsBackToSeeds);
+    CPPUNIT_TEST(deadWatcherIsReplaced);
+    CPPUNIT_TEST(triesStoreBeforeOtherWatchers);
+    CPPUNIT_TEST(refusedWatcherUsesPeersAndProbesStore);
+    CPPUNIT_TEST(onlyWatchersKeepProbingStore);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Sixty-six nodes that each watched the store would make sixty-six calls a second for
-    // nothing; the store's rate is for all nodes together.
-    void oneNodeOfEachDomainAsksTheStore()
+    // Guards against a watch of the store by each node, since the store's rate limit applies to the
+    // whole fleet.
+    void oneNodePerDomainFollowsStore()
     {
         const auto members = fleet(22);
         std::set<std::string> watchers;
@@ -114,9 +114,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 0, members));
     }
 
-    // A watcher sends each change to all of its domain. On the link of the smallest VM, which was
-    // first by name, sixty copies of a change took seconds.
-    void theLargestNodeOfADomainWatches()
+    // Guards against a watcher on a small VM, whose bandwidth delays the changes for its domain.
+    void largestNodeIsWatcher()
     {
         auto members = fleet(5);
         for (NodeEntry &member : members) {
@@ -128,39 +127,41 @@
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(watcher, 0, members));
     }
 
-    /** Guards against a watcher whose memory and link are taken up by the nodes that ask it. */
-    void nodesBelowANodeDoNotGrowWithTheFleet()
+    /** Guards against a watcher whose memory and bandwidth are used up by its followers. */
+    void childrenAreBounded()
     {
-        constexpr std::size_t MostBelow = 16;
+        constexpr std::size_t MaxChildren = 16;
         for (const int each : {100, 200, 400}) {
-            const auto askers = askersOf(fleet(each));
-            for (const auto &[upstream, count] : askers) {
-                CPPUNIT_ASSERT(count <= MostBelow);
+            const auto followers = followerCounts(fleet(each));
+            for (const auto &[upstream, count] : followers) {
+                CPPUNIT_ASSERT(count <= MaxChildren);
             }
-            CPPUNIT_ASSERT_EQUAL(std::size_t {3}, askers.at("store"));
+            CPPUNIT_ASSERT_EQUAL(std::size_t {3}, followers.at("store"));
         }
     }
 
-    /** Guards against nodes that wait for each other's news in a circle. */
-    void newsComeDownInFewSteps()
+    /** Guards against cycles and long chains of nodes that wait for each other's changes. */
+    void treeIsShallow()
     {
         const auto members = fleet(400);
         const NodeRoster roster = rosterOf(members);
-        std::map<std::string, std::string> above;
+        std::map<std::string, std::string> parents;
         for (const NodeEntry &member : members) {
             UpstreamChoice choice(member, 0);
-            above[member.control] = choice.choose(at(0), roster, {}).peer.value_or("store");
+            parents[member.control] = choice.choose(at(0), roster, {}).peer.value_or("store");
         }
-        for (const auto &[control, first] : above) {
+        for (const auto &[control, first] : parents) {
             std::size_t steps = 1;
-            for (std::string next = first; next != "store"; next = above.at(next)) {
+            for (std::string next = first; next != "store"; next = parents.at(next)) {
                 CPPUNIT_ASSERT(++steps <= 4);
             }
         }
     }
 
-    /** Guards against a node that asks all those beside it, who hear no more than it does. */
-    void aNodeThatFailsGoesFurtherUp()
+    /**
+     * Guards against a node that tries all siblings of its parent, which depend on the same nodes.
+     */
+    void repeatedFailuresGoFurtherUp()
     {
         const auto members = fleet(200);
         const NodeRoster roster = rosterOf(members);
@@ -177,8 +178,8 @@
         CPPUNIT_ASSERT(asked <= 3);
     }
 
-    /** Guards against a domain that hears nothing for a while because one watch was cut. */
-    void aWatcherTriesAgainAtOnce()
+    /** Guards against a delay for a whole domain after a single broken watch. */
+    void watcherRetriesSoon()
     {
         UpstreamChoice choice = choiceOf("a1");
         choice.failed(at(0), {std::nullopt, false});
@@ -187,8 +188,8 @@
         CPPUNIT_ASSERT(chosen(choice, 300) != "store");
     }
 
-    /** Guards against nodes below one that is gone for good that ask it every other second. */
-    void aNodeThatStaysGoneIsAskedEverMoreRarely()
+    /** Guards against frequent calls to a node that is lost for good. */
+    void backsOffFromLostNode()
     {
         UpstreamChoice choice = choiceOf("b2");
         int asked = 0;
@@ -201,31 +202,33 @@
         CPPUNIT_ASSERT(asked <= 4);
     }
 
-    void aNewNodeAsksTheStore()
+    void newNodeCallsStore()
     {
         UpstreamChoice choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {}));
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {node("a1", "a")}));
     }
 
-    /** Guards against hundreds of nodes that list the store after the loss of all. */
-    void onlySeedsListTheWholeStore()
+    /**
+     * Guards against hundreds of nodes that list the store at once when the whole fleet restarts.
+     */
+    void onlySeedsListStoreAtOnce()
     {
         const std::vector<std::string> seeds {"a1:2", "b1:2"};
         UpstreamChoice seed = choiceOf("b1");
         CPPUNIT_ASSERT_EQUAL(std::string("store"),
                              chosenForFirstCopy(seed, 0, fleet(3), seeds, true));
-        std::map<std::string, int> askers;
+        std::map<std::string, int> followers;
         for (std::uint64_t spread = 0; spread < 100; ++spread) {
             UpstreamChoice choice(node("b2", "b"), spread);
-            ++askers[chosenForFirstCopy(choice, 0, {}, seeds)];
+            ++followers[chosenForFirstCopy(choice, 0, {}, seeds)];
         }
-        CPPUNIT_ASSERT_EQUAL(50, askers["a1:2"]);
-        CPPUNIT_ASSERT_EQUAL(50, askers["b1:2"]);
+        CPPUNIT_ASSERT_EQUAL(50, followers["a1:2"]);
+        CPPUNIT_ASSERT_EQUAL(50, followers["b1:2"]);
     }
 
-    /** Guards against a start that waits for a copy from nodes that are as new as this one. */
-    void aNodeWithoutACopyListsTheStoreInTheEnd()
+    /** Guards against an endless wait for a snapshot from nodes that have none themselves. */
+    void listsStoreAfterSnapshotTimeout()
     {
         std::set<std::string> late;
         for (std::uint64_t spread = 0; spread < 10; ++spread) {
@@ -241,7 +244,7 @@
     }
 
     /** Guards against listing the store because the nodes that have a copy are busy for now. */
-    void goesWhereABusyNodeRefersIt()
+    void followsReferrals()
     {
         UpstreamChoice choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 0, {}, {"a1:2"}));
@@ -249,13 +252,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("c7:2"), chosenForFirstCopy(choice, 20, {}, {"a1:2"}));
         CPPUNIT_ASSERT_EQUAL(std::string("nobody"), chosenForFirstCopy(choice, 30, {}, {"a1:2"}));
         CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 400, {}, {"a1:2"}));
-        // One that is down is no reason to wait.
+        // An unreachable peer is no reason to wait.
         choice.failed(at(410), {"a1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosenForFirstCopy(choice, 420, {}, {"a1:2"}));
     }
 
-    // Where the store turns a node away that knows nothing, another node's copy is all there is.
-    void aNodeThatKnowsNothingAsksTheStore()
+    // Guards against a new node without any state if the store refuses its calls.
+    void nodeWithoutRosterFallsBackToSeeds()
     {
         UpstreamChoice choice = choiceOf("b2");
         const Upstream first = choice.choose(at(0), rosterOf({}), {"a1:2"});
@@ -265,23 +268,23 @@
         CPPUNIT_ASSERT(!choice.choose(at(2'000), rosterOf({}), {"a1:2"}).peer);
     }
 
-    // The watcher of a domain is killed. The others of its domain must not wait until its entry
-    // lapses: changes of that time would come too late.
-    void aDeadWatcherIsLeft()
+    // Guards against a domain that receives no changes until the entry of its killed watcher
+    // expires.
+    void deadWatcherIsReplaced()
     {
         UpstreamChoice choice = choiceOf("b2");
         choice.failed(at(0), {"b1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 10));
         CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 5'000));
-        // The next in rank asks the store in its place; the others ask that one.
+        // The next node in rank becomes the watcher; the others follow it.
         UpstreamChoice third = choiceOf("b3");
         third.failed(at(0), {"b1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("b2:2"), chosen(third, 10));
     }
 
-    // The store turns away the watchers of all domains, and no other node. Waiting for one of them
-    // after the other, a node would serve an old state for seconds, though the store would answer.
-    void otherWatchersMayBeTurnedAwayToo()
+    // Guards against a node that tries the watchers of all domains in turn while the store refuses
+    // only these.
+    void triesStoreBeforeOtherWatchers()
     {
         UpstreamChoice choice = choiceOf("b2");
         choice.failed(at(0), {"b1:2", false});
@@ -292,9 +295,8 @@
         CPPUNIT_ASSERT(chosen(choice, 40) != "b1:2");
     }
 
-    // The store turns a watcher away and serves all others. It asks them, so that its routes and
-    // servers stay current, and the store now and then with a short wait.
-    void aNodeTurnedAwayAsksOthersAndTriesAgain()
+    // Guards against a watcher without changes while the store refuses only its calls.
+    void refusedWatcherUsesPeersAndProbesStore()
     {
         UpstreamChoice choice = choiceOf("a1");
         const Upstream first = choice.choose(at(0), rosterOf(fleet(3)), {});
@@ -309,9 +311,8 @@
         CPPUNIT_ASSERT(!again.peer && !again.isProbe);
     }
 
-    // The store is away for twelve seconds. Each call in vain is paid for; the watchers find out
-    // that it is back, and the others hear it from them.
-    void onlyWatchersGoOnAskingAStoreThatIsAway()
+    // Guards against many billed calls in a store outage: only watchers keep retrying.
+    void onlyWatchersKeepProbingStore()
     {
         const auto probes = [](const std::string &name) {
             UpstreamChoice choice = choiceOf(name);
--- a/tests/quotas/quotacodectest.cpp
+++ b/tests/quotas/quotacodectest.cpp
@@ -15,7 +15,7 @@
     return {NodeName("n1"), Incarnation(17)};
 }
 
-void checkTold(ToKeeper message)
+void checkRoundTripToKeeper(ToKeeper message)
 {
     const Datagram<ToKeeper> datagram {life(), std::move(message)};
     const Json::Value value = parseJson(encode(datagram));
@@ -25,7 +25,7 @@
     CPPUNIT_ASSERT(!scheduling::readDatagramFromScheduler(value));
 }
 
-void checkAnswered(FromKeeper message)
+void checkRoundTripFromKeeper(FromKeeper message)
 {
     const Datagram<FromKeeper> datagram {life(), std::move(message)};
     const Json::Value value = parseJson(encode(datagram));
@@ -38,27 +38,29 @@
 class QuotaCodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuotaCodecTest);
-    CPPUNIT_TEST(messagesComeBackAsTheyWere);
-    CPPUNIT_TEST(brokenDatagramsAreNothing);
-    CPPUNIT_TEST(noDatagramOfAnyShapeStopsTheNode);
+    CPPUNIT_TEST(messageRoundTrip);
+    CPPUNIT_TEST(rejectsInvalidDatagrams);
+    CPPUNIT_TEST(toleratesAnyDatagram);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void messagesComeBackAsTheyWere()
+    void messageRoundTrip()
     {
-        checkTold(UsageTold {Incarnation(4), 9, true, {}});
-        checkTold(UsageTold {Incarnation(4),
-                             9,
-                             false,
-                             {{OrganisationName("a"), 3700.5}, {OrganisationName("b"), -1}}});
-        checkTold(QuotaAsked {QuotaAskId(3), OrganisationName("a"), 3700});
-        checkAnswered(StandingTold {{OrganisationName("a"), OrganisationName("b")}});
-        checkAnswered(StandingTold {});
-        checkAnswered(QuotaAnswered {QuotaAskId(3), true, Duration(0)});
-        checkAnswered(QuotaAnswered {QuotaAskId(3), false, std::chrono::milliseconds(70)});
+        checkRoundTripToKeeper(UsageTold {Incarnation(4), 9, true, {}});
+        checkRoundTripToKeeper(
+            UsageTold {Incarnation(4),
+                       9,
+                       false,
+                       {{OrganisationName("a"), 3700.5}, {OrganisationName("b"), -1}}});
+        checkRoundTripToKeeper(QuotaAsked {QuotaAskId(3), OrganisationName("a"), 3700});
+        checkRoundTripFromKeeper(StandingTold {{OrganisationName("a"), OrganisationName("b")}});
+        checkRoundTripFromKeeper(StandingTold {});
+        checkRoundTripFromKeeper(QuotaAnswered {QuotaAskId(3), true, Duration(0)});
+        checkRoundTripFromKeeper(
+            QuotaAnswered {QuotaAskId(3), false, std::chrono::milliseconds(70)});
     }
 
-    void brokenDatagramsAreNothing()
+    void rejectsInvalidDatagrams()
     {
         const std::string whole = encode(
             Datagram<ToKeeper> {life(), QuotaAsked {QuotaAskId(3), OrganisationName("a"), 1}});
@@ -78,7 +80,7 @@
         }
     }
 
-    void noDatagramOfAnyShapeStopsTheNode()
+    void toleratesAnyDatagram()
     {
         const bool isTrue = rc::check([] {
             Json::Value value = parseJson(encode(Datagram<ToKeeper> {
--- a/tests/quotas/quotafleet.h
+++ b/tests/quotas/quotafleet.h
@@ -12,8 +12,8 @@
 namespace indigoway::quotas {
 
 /**
- * Nodes with their parts in keeping quotas, in virtual time: datagrams take a few milliseconds and
- * may be lost, nodes die, are started again and are cut off, and learn late who is there.
+ * Simulates the quota exchange of nodes in virtual time: datagrams take a few milliseconds and may
+ * be lost, and nodes fail, restart, are cut off, and learn of each other late.
  */
 class QuotaFleet
 {
@@ -23,7 +23,7 @@
         std::size_t nodes = 8;
         Quota quota;
         QuotaBounds bounds;
-        double lost = 0; ///< Of the datagrams.
+        double lossRate = 0; ///< Fraction of lost datagrams.
         std::uint64_t seed = 1;
     };
 
@@ -36,7 +36,7 @@
             m_nodes.push_back({});
             start(node);
         }
-        spreadNews();
+        updateMembership();
     }
 
     static RouteTable tableOf(const Quota &quota)
@@ -65,51 +65,51 @@
     {
         Node &one = m_nodes[node];
         one.isUp = true;
-        one.life = Incarnation(++m_lives);
+        one.incarnation = Incarnation(++m_incarnations);
         one.gate = std::make_unique<QuotaGate>(m_settings.bounds);
         one.gate->setWanted(true);
-        one.keeper = std::make_unique<QuotaKeeper>(one.life);
+        one.keeper = std::make_unique<QuotaKeeper>(one.incarnation);
         one.waiting.clear();
     }
     void cut(std::size_t node, bool isCut) { m_nodes[node].isCut = isCut; }
     std::size_t size() const { return m_nodes.size(); }
 
-    /** All nodes that the store reaches know who is there, and so who keeps the quotas. */
-    void spreadNews()
+    /** Informs all nodes that are not cut off of the nodes present and of the keeper. */
+    void updateMembership()
     {
-        std::uint32_t known = 0;
+        std::uint32_t knownNodes = 0;
         std::optional<std::size_t> keeper;
         for (std::size_t node = 0; node < m_nodes.size(); ++node) {
             if (m_nodes[node].isUp && !m_nodes[node].isCut) {
-                ++known;
+                ++knownNodes;
                 keeper = keeper.value_or(node);
             }
         }
         for (Node &node : m_nodes) {
             if (node.isUp && !node.isCut) {
-                node.known = known;
+                node.knownNodes = knownNodes;
                 node.keeperIndex = keeper;
-                node.gate->setNodes(known);
+                node.gate->setNodes(knownNodes);
                 node.gate->setKeeper(keeper ? std::optional(nameOf(*keeper)) : std::nullopt);
             }
         }
     }
 
-    /** A caller's request of @p units comes to @p node. */
+    /** Sends a caller's request of @p units to @p node. */
     void request(std::size_t node, double units)
     {
         Node &one = m_nodes[node];
         if (!one.isUp) {
             return;
         }
-        const QuotaAskId ask(++m_asks);
+        const QuotaAskId ask(++m_lastAskId);
         QuotaGate::Messages messages;
         const auto decision =
             one.gate->decide(now(), ask, OrganisationName("o"), m_settings.quota, units, messages);
         send(node, std::move(messages));
         ++m_requests;
         if (decision.kind == QuotaDecision::Kind::Passed) {
-            pass(units);
+            grant(units);
         } else if (decision.kind == QuotaDecision::Kind::Asked) {
             one.waiting[ask] = units;
         }
@@ -128,23 +128,23 @@
         }
     }
 
-    double passed() const { return m_passed; }
-    /** The most that has passed in any window of @p seconds. */
-    double mostInWindow(double seconds) const
+    double grantedUnits() const { return m_grantedUnits; }
+    /** Returns the maximum number of units granted in any window of @p seconds. */
+    double maxUnitsInWindow(double seconds) const
     {
-        double most = 0;
+        double maxUnits = 0;
         double sum = 0;
         std::size_t first = 0;
-        for (std::size_t last = 0; last < m_passes.size(); ++last) {
-            sum += m_passes[last].second;
-            while (m_passes[last].first - m_passes[first].first > seconds) {
-                sum -= m_passes[first++].second;
+        for (std::size_t last = 0; last < m_grants.size(); ++last) {
+            sum += m_grants[last].second;
+            while (m_grants[last].first - m_grants[first].first > seconds) {
+                sum -= m_grants[first++].second;
             }
-            most = std::max(most, sum);
+            maxUnits = std::max(maxUnits, sum);
         }
-        return most;
+        return maxUnits;
     }
-    double mostAllowed() const
+    double maxAllowedUnits() const
     {
         const double window = std::chrono::duration<double>(m_settings.bounds.window).count();
         return (m_settings.quota.perSecond * window + m_settings.quota.burst)
@@ -156,9 +156,9 @@
     struct Node
     {
         bool isUp = false;
-        bool isCut = false; ///< From the other nodes and the store; callers reach it.
-        Incarnation life;
-        std::uint32_t known = 0;
+        bool isCut = false; ///< From other nodes and the store, but not from callers.
+        Incarnation incarnation;
+        std::uint32_t knownNodes = 0;
         std::optional<std::size_t> keeperIndex;
         std::unique_ptr<QuotaGate> gate;
         std::unique_ptr<QuotaKeeper> keeper;
@@ -174,10 +174,10 @@
 
     static NodeName nameOf(std::size_t node) { return NodeName(std::to_string(node)); }
 
-    void pass(double units)
+    void grant(double units)
     {
-        m_passed += units;
-        m_passes.emplace_back(seconds(), units);
+        m_grantedUnits += units;
+        m_grants.emplace_back(seconds(), units);
     }
 
     void send(std::size_t node, QuotaGate::Messages messages)
@@ -192,9 +192,9 @@
     template <typename Message>
     void post(std::size_t from, std::size_t to, Message message)
     {
-        const bool isApart = from != to && (m_nodes[from].isCut || m_nodes[to].isCut);
-        const bool isLost = std::uniform_real_distribution<>(0, 1)(m_random) < m_settings.lost;
-        if (!isApart && !isLost) {
+        const bool isPartitioned = from != to && (m_nodes[from].isCut || m_nodes[to].isCut);
+        const bool isLost = std::uniform_real_distribution<>(0, 1)(m_random) < m_settings.lossRate;
+        if (!isPartitioned && !isLost) {
             const auto delay = std::uniform_int_distribution<>(1, 4)(m_random);
             m_datagrams.push_back(
                 {m_now + std::chrono::milliseconds(delay), from, to, std::move(message)});
@@ -217,18 +217,18 @@
                 continue;
             }
             if (const auto *question = std::get_if<ToKeeper>(&one.message)) {
-                const QuotaKeeper::View view {m_routes, to.known};
-                const NodeLife from {nameOf(one.from), m_nodes[one.from].life};
+                const QuotaKeeper::View view {m_routes, to.knownNodes};
+                const NodeLife from {nameOf(one.from), m_nodes[one.from].incarnation};
                 for (KeeperReply &reply : to.keeper->handle(now(), view, from, *question)) {
                     post(one.to, std::stoul(reply.to.text()), std::move(reply.message));
                 }
             } else {
-                answered(one);
+                handleAnswer(one);
             }
         }
     }
 
-    void answered(const Datagram &one)
+    void handleAnswer(const Datagram &one)
     {
         Node &node = m_nodes[one.to];
         if (node.keeperIndex != one.from) {
@@ -236,18 +236,18 @@
         }
         QuotaGate::Messages messages;
         const auto verdict = node.gate->answered(now(), std::get<FromKeeper>(one.message),
-                                                 m_nodes[one.from].life, messages);
+                                                 m_nodes[one.from].incarnation, messages);
         send(one.to, std::move(messages));
         if (verdict) {
-            decided(node, *verdict);
+            finishRequest(node, *verdict);
         }
     }
 
-    void decided(Node &node, const QuotaVerdict &verdict)
+    void finishRequest(Node &node, const QuotaVerdict &verdict)
     {
         const auto it = node.waiting.find(verdict.ask);
         if (it != node.waiting.end() && verdict.isGranted) {
-            pass(it->second);
+            grant(it->second);
         }
         node.waiting.erase(verdict.ask);
     }
@@ -263,7 +263,7 @@
         const auto verdicts = one.gate->tick(now(), messages);
         send(node, std::move(messages));
         for (const QuotaVerdict &verdict : verdicts) {
-            decided(one, verdict);
+            finishRequest(one, verdict);
         }
     }
 
@@ -273,11 +273,11 @@
     Duration m_now {};
     std::vector<Node> m_nodes;
     std::deque<Datagram> m_datagrams;
-    std::uint64_t m_lives = 0;
-    std::uint64_t m_asks = 0;
+    std::uint64_t m_incarnations = 0;
+    std::uint64_t m_lastAskId = 0;
     std::uint64_t m_requests = 0;
-    double m_passed = 0;
-    std::vector<std::pair<double, double>> m_passes; ///< Seconds, units.
+    double m_grantedUnits = 0;
+    std::vector<std::pair<double, double>> m_grants; ///< Time in seconds, units.
 };
 
 } // namespace indigoway::quotas
--- a/tests/quotas/quotafleettest.cpp
+++ b/tests/quotas/quotafleettest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double PerSecond = 50'000;
-constexpr double Units = 3'700; ///< Of one request.
+constexpr double Units = 3'700; ///< Units of one request.
 
 QuotaFleet::Settings settingsOf(std::uint64_t seed)
 {
@@ -23,7 +23,7 @@
     return settings;
 }
 
-/** Sends requests at @p times the quota's rate to nodes drawn at random. */
+/** Sends requests at @p factor the quota's rate to random nodes. */
 class Load
 {
 public:
@@ -32,24 +32,24 @@
         , m_random(seed)
     { }
 
-    void run(Duration duration, double times)
+    void run(Duration duration, double factor)
     {
-        const double gap = Units / (PerSecond * times);
+        const double gap = Units / (PerSecond * factor);
         const double end = m_fleet.seconds() + std::chrono::duration<double>(duration).count();
         while (m_fleet.seconds() < end) {
             const double wait = std::exponential_distribution<>(1 / gap)(m_random);
             m_fleet.run(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)));
             m_fleet.request(
                 std::uniform_int_distribution<std::size_t>(0, m_fleet.size() - 1)(m_random), Units);
-            m_asked += Units;
+            m_requestedUnits += Units;
         }
     }
-    double asked() const { return m_asked; }
+    double requestedUnits() const { return m_requestedUnits; }
 
 private:
     QuotaFleet &m_fleet;
     std::mt19937_64 m_random;
-    double m_asked = 0;
+    double m_requestedUnits = 0;
 };
 
 } // namespace
@@ -57,40 +57,39 @@
 class QuotaFleetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuotaFleetTest);
-    CPPUNIT_TEST(whatIsUnderTheQuotaIsServed);
-    CPPUNIT_TEST(whatIsOverItIsRefusedAndNoMore);
-    CPPUNIT_TEST(aCallerWithManyTimesItsLoadIsHeldFromTheFirstSecond);
-    CPPUNIT_TEST(aKeeperThatDiesGivesNobodyASecondBurst);
-    CPPUNIT_TEST(nodesThatAreCutOffTogetherStayBelowTheBound);
-    CPPUNIT_TEST(aLimitThatFallsBindsAtOnce);
-    CPPUNIT_TEST(neverAboveTheBoundWhateverHappens);
+    CPPUNIT_TEST(grantsUsageWithinQuota);
+    CPPUNIT_TEST(refusesOnlyExcess);
+    CPPUNIT_TEST(limitsSuddenExcessAtOnce);
+    CPPUNIT_TEST(keeperFailureGrantsNoSecondBurst);
+    CPPUNIT_TEST(partitionedNodesStayWithinTolerance);
+    CPPUNIT_TEST(loweredQuotaAppliesAtOnce);
+    CPPUNIT_TEST(neverExceedsTolerance);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void whatIsUnderTheQuotaIsServed()
+    void grantsUsageWithinQuota()
     {
         QuotaFleet fleet(settingsOf(1));
         Load load(fleet, 1);
-        fleet.run(2s); // The keeper's buckets begin empty.
+        fleet.run(2s); // The keeper's buckets start empty.
         load.run(20s, 0.55);
-        CPPUNIT_ASSERT(fleet.passed() >= 0.995 * load.asked());
+        CPPUNIT_ASSERT(fleet.grantedUnits() >= 0.995 * load.requestedUnits());
     }
 
-    void whatIsOverItIsRefusedAndNoMore()
+    void refusesOnlyExcess()
     {
         QuotaFleet fleet(settingsOf(2));
         Load load(fleet, 2);
         fleet.run(2s);
         load.run(20s, 3);
         const double limit = PerSecond * 20 + PerSecond;
-        CPPUNIT_ASSERT(fleet.passed() <= 1.05 * limit);
-        CPPUNIT_ASSERT(fleet.passed() >= 0.95 * limit);
+        CPPUNIT_ASSERT(fleet.grantedUnits() <= 1.05 * limit);
+        CPPUNIT_ASSERT(fleet.grantedUnits() >= 0.95 * limit);
     }
 
-    // An organisation sends four times its quota from one moment on, over all nodes. Nodes pass
-    // its requests until they hear that little is left. If each heard it only once a second, it
-    // would be served the whole excess meanwhile.
-    void aCallerWithManyTimesItsLoadIsHeldFromTheFirstSecond()
+    // Guards against an excess that is granted until all nodes have learnt that an organisation is
+    // scarce.
+    void limitsSuddenExcessAtOnce()
     {
         QuotaFleet::Settings settings = settingsOf(3);
         settings.nodes = 60;
@@ -99,12 +98,11 @@
         fleet.run(2s);
         load.run(4s, 0.5);
         load.run(10s, 4);
-        CPPUNIT_ASSERT(fleet.mostInWindow(8) <= 1.05 * (PerSecond * 8 + PerSecond));
+        CPPUNIT_ASSERT(fleet.maxUnitsInWindow(8) <= 1.05 * (PerSecond * 8 + PerSecond));
     }
 
-    // The node that keeps the quotas dies every few seconds; the next one knows nothing of what
-    // was used. If it began with full buckets, each death would be worth a burst.
-    void aKeeperThatDiesGivesNobodyASecondBurst()
+    // Guards against a second burst after the node that runs the keeper has failed.
+    void keeperFailureGrantsNoSecondBurst()
     {
         QuotaFleet fleet(settingsOf(4));
         Load load(fleet, 4);
@@ -112,14 +110,14 @@
             load.run(2500ms, 4);
             fleet.kill(node);
             load.run(1500ms, 4);
-            fleet.spreadNews();
+            fleet.updateMembership();
         }
-        CPPUNIT_ASSERT(fleet.mostInWindow(8) <= fleet.mostAllowed());
+        CPPUNIT_ASSERT(fleet.maxUnitsInWindow(8) <= fleet.maxAllowedUnits());
     }
 
-    // A third of the nodes is cut off from all others while callers still reach them. They go on
-    // with their own shares, and the keeper gives out no more than the others'.
-    void nodesThatAreCutOffTogetherStayBelowTheBound()
+    // Guards against an excess while some nodes are cut off from the keeper and grant their shares
+    // locally.
+    void partitionedNodesStayWithinTolerance()
     {
         QuotaFleet::Settings settings = settingsOf(5);
         settings.nodes = 30;
@@ -130,29 +128,29 @@
             fleet.cut(node, true);
         }
         load.run(8s, 4);
-        CPPUNIT_ASSERT(fleet.mostInWindow(8) <= fleet.mostAllowed());
-        CPPUNIT_ASSERT(fleet.passed() >= 0.6 * PerSecond * 12);
+        CPPUNIT_ASSERT(fleet.maxUnitsInWindow(8) <= fleet.maxAllowedUnits());
+        CPPUNIT_ASSERT(fleet.grantedUnits() >= 0.6 * PerSecond * 12);
     }
 
-    void aLimitThatFallsBindsAtOnce()
+    void loweredQuotaAppliesAtOnce()
     {
         QuotaFleet fleet(settingsOf(6));
         Load load(fleet, 6);
         load.run(10s, 0.9);
-        const double before = fleet.passed();
+        const double before = fleet.grantedUnits();
         fleet.setQuota({PerSecond / 10, PerSecond / 10, QuotaUnit::Tokens, 200});
         load.run(10s, 0.9);
-        CPPUNIT_ASSERT(fleet.passed() - before <= 1.2 * (PerSecond + PerSecond / 10));
+        CPPUNIT_ASSERT(fleet.grantedUnits() - before <= 1.2 * (PerSecond + PerSecond / 10));
     }
 
-    // Nodes die, come back, are cut off and heal, news of that come late, datagrams are lost, and
-    // callers send up to five times the quota all the while.
-    void neverAboveTheBoundWhateverHappens()
+    // Guards against usage beyond the tolerance with random failures, restarts, partitions, late
+    // membership and lost datagrams.
+    void neverExceedsTolerance()
     {
         const bool isTrue = rc::check([] {
             QuotaFleet::Settings settings = settingsOf(*rc::gen::arbitrary<std::uint64_t>());
             settings.nodes = *rc::gen::inRange<std::size_t>(1, 20);
-            settings.lost = *rc::gen::element(0.0, 0.03, 0.3);
+            settings.lossRate = *rc::gen::element(0.0, 0.03, 0.3);
             QuotaFleet fleet(settings);
             Load load(fleet, settings.seed);
             for (int step = 0; step < 15; ++step) {
@@ -176,10 +174,10 @@
                     break;
                 }
                 if (*rc::gen::inRange(0, 2) == 0) {
-                    fleet.spreadNews();
+                    fleet.updateMembership();
                 }
             }
-            RC_ASSERT(fleet.mostInWindow(8) <= fleet.mostAllowed());
+            RC_ASSERT(fleet.maxUnitsInWindow(8) <= fleet.maxAllowedUnits());
         });
         CPPUNIT_ASSERT(isTrue);
     }
--- a/tests/store/copyprooftest.cpp
+++ b/tests/store/copyprooftest.cpp
@@ -21,28 +21,27 @@
 class CopyProofTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CopyProofTest);
-    CPPUNIT_TEST(isAsOldAsTheQuestion);
-    CPPUNIT_TEST(waitsForTheCopy);
-    CPPUNIT_TEST(anAnswerReadLateIsOldNews);
-    CPPUNIT_TEST(agesAddUpAlongTheWay);
-    CPPUNIT_TEST(aNodeThatClaimsToHaveHeldTheQuestionForLongerThanItTookIsNotBelieved);
-    CPPUNIT_TEST(neverSeemsYoungerThanItIs);
+    CPPUNIT_TEST(ageCountsFromTheRequest);
+    CPPUNIT_TEST(ageGrowsUntilCopyCatchesUp);
+    CPPUNIT_TEST(lateAnswerIsStale);
+    CPPUNIT_TEST(agesAddUpAlongChain);
+    CPPUNIT_TEST(boundsHoldTimeOfPeer);
+    CPPUNIT_TEST(neverUnderestimatesAge);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void isAsOldAsTheQuestion()
+    void ageCountsFromTheRequest()
     {
         CopyProof proof;
         CPPUNIT_ASSERT(!proof.age(at(0)));
         proof.answered(at(0), 7, 7);
         CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
-        proof.answered(at(-20), 7, 9); // An earlier question, answered later.
+        proof.answered(at(-20), 7, 9); // An earlier request that is answered later.
         CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
     }
 
-    // The store's watch holds a change back while the store itself says that there is one. Until
-    // the change is there the copy is as old as it was before.
-    void waitsForTheCopy()
+    // Guards against a copy that counts as fresh before it has reached the store's revision.
+    void ageGrowsUntilCopyCatchesUp()
     {
         CopyProof proof;
         proof.answered(at(0), 7, 7);
@@ -53,24 +52,23 @@
         CPPUNIT_ASSERT(proof.age(at(2010)) == Duration(1010ms));
     }
 
-    // The process asks, stands still for seconds while a key is taken away, and reads then what
-    // the store had answered before. The answer looks new, and proves what was long ago.
-    void anAnswerReadLateIsOldNews()
+    // Guards against an answer that counts as fresh although it was read late after a suspension.
+    void lateAnswerIsStale()
     {
         CopyProof proof;
         proof.answered(at(0), 7, 7);
         CPPUNIT_ASSERT(proof.age(at(8000)) == Duration(8s));
     }
 
-    void agesAddUpAlongTheWay()
+    void agesAddUpAlongChain()
     {
         CopyProof proof;
-        // Asked at 0, held for 0.8 s, and then 1.5 s old: as the store was at -0.7 s.
+        // Sent at 0, held for 0.8 s, then 1.5 s stale: the store's state at -0.7 s.
         proof.told(at(0), at(803), 800ms, 1500ms);
         CPPUNIT_ASSERT(proof.age(at(1000)) == Duration(1700ms));
     }
 
-    void aNodeThatClaimsToHaveHeldTheQuestionForLongerThanItTookIsNotBelieved()
+    void boundsHoldTimeOfPeer()
     {
         CopyProof proof;
         proof.told(at(0), at(100), 5s, 0ms);
@@ -79,18 +77,17 @@
         CPPUNIT_ASSERT(proof.age(at(100)) == Duration(0ms));
     }
 
-    // A chain of nodes, the first of which asks the store. Questions and answers take any time,
-    // nodes stand still between asking and reading, copies lag behind: whatever the order, no node
-    // believes its copy to be newer than it is.
-    void neverSeemsYoungerThanItIs()
+    // Guards against a node in a chain that underestimates the staleness of its copy, with random
+    // delays, suspensions and lag.
+    void neverUnderestimatesAge()
     {
         const bool isTrue = rc::check([] {
             constexpr std::size_t Nodes = 4;
             std::vector<CopyProof> proofs(Nodes);
             std::vector<std::uint64_t> copies(Nodes, 0);
-            std::vector<std::int64_t> changedAt {0}; // By revision.
+            std::vector<std::int64_t> changedAt {0}; // Indexed by revision.
             std::int64_t now = 0;
-            const auto pass = [&] {
+            const auto advanceTime = [&] {
                 now += *rc::gen::inRange<std::int64_t>(0, 3000);
             };
             const auto check = [&] {
@@ -105,38 +102,38 @@
                 }
             };
             for (int step = 0; step < 40; ++step) {
-                pass();
+                advanceTime();
                 const auto node = *rc::gen::inRange<std::size_t>(0, Nodes);
                 switch (*rc::gen::inRange(0, 3)) {
-                case 0: // A change.
+                case 0: // A change of the store.
                     changedAt.push_back(now);
                     break;
-                case 1: { // The first node asks the store.
-                    const BootTime asked = at(now);
-                    pass();
+                case 1: { // The first node reads the store's revision.
+                    const BootTime askedAt = at(now);
+                    advanceTime();
                     const std::uint64_t revision = changedAt.size() - 1;
-                    pass();
-                    proofs[0].answered(asked, revision, copies[0]);
+                    advanceTime();
+                    proofs[0].answered(askedAt, revision, copies[0]);
                     copies[0] =
                         std::max(copies[0], *rc::gen::inRange<std::uint64_t>(0, changedAt.size()));
                     proofs[0].copied(copies[0]);
                     break;
                 }
-                default: { // A node asks the one before it.
+                default: { // A node requests updates from the previous one.
                     if (node == 0) {
                         break;
                     }
-                    const BootTime asked = at(now);
-                    pass();
-                    const std::int64_t arrived = now;
-                    pass();
+                    const BootTime askedAt = at(now);
+                    advanceTime();
+                    const std::int64_t arrivedAt = now;
+                    advanceTime();
                     const auto age = proofs[node - 1].age(at(now));
                     const std::uint64_t copy = copies[node - 1];
-                    const auto held = std::chrono::milliseconds(now - arrived);
-                    pass();
+                    const auto held = std::chrono::milliseconds(now - arrivedAt);
+                    advanceTime();
                     copies[node] = std::max(copies[node], copy);
                     if (age) {
-                        proofs[node].told(asked, at(now), held, *age);
+                        proofs[node].told(askedAt, at(now), held, *age);
                     }
                     break;
                 }
