--- a/tests/store/mirrortest.cpp
+++ b/tests/store/mirrortest.cpp
@@ -19,29 +19,29 @@
     return {key, value, revision, 1};
 }
 
-/** A mirror whose changes are collected, as its owner sees them. */
-struct Watched
+/** A mirror that collects its changes. */
+struct CollectingMirror
 {
-    Watched()
+    CollectingMirror()
         : mirror("p/", [this](const std::string &key, const StoredItem *item, std::uint64_t) {
             if (item) {
-                seen[key] = item->value;
+                items[key] = item->value;
             } else {
-                seen.erase(key);
+                items.erase(key);
             }
         })
     { }
 
-    std::map<std::string, std::string> seen;
+    std::map<std::string, std::string> items;
     Mirror mirror;
 };
 
-bool isList(const MirrorCall &call)
+bool isListCall(const MirrorCall &call)
 {
     return std::holds_alternative<ListCall>(call);
 }
 
-std::uint64_t watchedFrom(const MirrorCall &call)
+std::uint64_t watchRevision(const MirrorCall &call)
 {
     CPPUNIT_ASSERT(std::holds_alternative<WatchCall>(call));
     return std::get<WatchCall>(call).revision;
@@ -52,13 +52,13 @@
     return {0, asOf, true, std::move(items)};
 }
 
-/** What @p watcher was told by the store last, as another copy hears it. */
-void passOn(Watched &watcher, Watched &asker)
+/** Passes the changes that @p watcher has got from the store on to @p follower. */
+void forwardUpdate(CollectingMirror &watcher, CollectingMirror &follower)
 {
-    const auto heard = watcher.mirror.takeHeard();
-    CPPUNIT_ASSERT(heard.has_value());
-    CPPUNIT_ASSERT(asker.mirror.told(*heard));
-    CPPUNIT_ASSERT(asker.seen == watcher.seen);
+    const auto update = watcher.mirror.takeHeard();
+    CPPUNIT_ASSERT(update.has_value());
+    CPPUNIT_ASSERT(follower.mirror.told(*update));
+    CPPUNIT_ASSERT(follower.items == watcher.items);
 }
 
 } // namespace
@@ -67,129 +67,125 @@
 {
     CPPUNIT_TEST_SUITE(MirrorTest);
     CPPUNIT_TEST(listsAllPagesThenWatches);
-    CPPUNIT_TEST(changesBetweenPagesAreSeen);
-    CPPUNIT_TEST(listsAgainWhenHistoryIsGone);
-    CPPUNIT_TEST(neverGoesBack);
-    CPPUNIT_TEST(newsOfAPeerBridgeAnOutage);
-    CPPUNIT_TEST(asksAtOnceAfterStandingStill);
-    CPPUNIT_TEST(pausesWhileTheStoreIsAway);
-    CPPUNIT_TEST(removalsAreToldToOthers);
-    CPPUNIT_TEST(collectsChangesBetweenWatches);
-    CPPUNIT_TEST(aListingOfManyPagesIsToldWhole);
-    CPPUNIT_TEST(whatVanishedDuringAListingIsNotTold);
-    CPPUNIT_TEST(newsThatDoNotFollowAreNotTaken);
-    CPPUNIT_TEST(newsThatOverlapChangeNothing);
-    CPPUNIT_TEST(anyOrderOfNewsEndsAtTheNewest);
+    CPPUNIT_TEST(watchStartsAtFirstPage);
+    CPPUNIT_TEST(listsAgainAfterCompaction);
+    CPPUNIT_TEST(neverRevertsToOlderRevision);
+    CPPUNIT_TEST(peerReplacesUnreachableStore);
+    CPPUNIT_TEST(refreshStartsListingAtOnce);
+    CPPUNIT_TEST(backsOffWhileStoreIsUnreachable);
+    CPPUNIT_TEST(removalsReachFollowers);
+    CPPUNIT_TEST(batchesChangesBetweenWatches);
+    CPPUNIT_TEST(allPagesFormOneUpdate);
+    CPPUNIT_TEST(itemRemovedDuringListingStaysRemoved);
+    CPPUNIT_TEST(rejectsUpdateAfterGap);
+    CPPUNIT_TEST(overlappingUpdateIsIdempotent);
+    CPPUNIT_TEST(anyOrderEndsAtNewestRevision);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void listsAllPagesThenWatches()
     {
-        Watched one;
-        CPPUNIT_ASSERT(isList(one.mirror.beginStoreCall()));
+        CollectingMirror one;
+        CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
         CPPUNIT_ASSERT(one.mirror.isBusy(at(0)));
         one.mirror.listed({{item("p/a", 3), item("p/b", 4)}, true, 10});
         const MirrorCall next = one.mirror.beginStoreCall();
-        CPPUNIT_ASSERT(isList(next));
+        CPPUNIT_ASSERT(isListCall(next));
         CPPUNIT_ASSERT_EQUAL(std::string("p/b"), std::get<ListCall>(next).after);
         one.mirror.listed({{item("p/c", 5)}, false, 12});
-        CPPUNIT_ASSERT_EQUAL(std::size_t {3}, one.seen.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, watchedFrom(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t {3}, one.items.size());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, watchRevision(one.mirror.beginStoreCall()));
     }
 
-    // Pages are no snapshot. An item is removed after the first page and before the second: the
-    // watch that follows must begin at the first page's revision, or the removal is never seen
-    // and requests go to a server that has left.
-    void changesBetweenPagesAreSeen()
+    // Guards against a missed removal between two pages: the watch must start at the first page's
+    // revision.
+    void watchStartsAtFirstPage()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/a", 3)}, true, 10});
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/b", 12)}, false, 13});
         one.mirror.beginStoreCall();
         one.mirror.watched(at(0), {{{"p/a", 11, std::nullopt}, {"p/b", 12, "v"}}, 13});
-        CPPUNIT_ASSERT(!one.seen.contains("p/a"));
-        CPPUNIT_ASSERT(one.seen.contains("p/b"));
+        CPPUNIT_ASSERT(!one.items.contains("p/a"));
+        CPPUNIT_ASSERT(one.items.contains("p/b"));
     }
 
-    // The store drops its history while a server leaves. The watch cannot tell of it any more;
-    // without a new listing the server would stay in the list for good.
-    void listsAgainWhenHistoryIsGone()
+    // Guards against a removed item that is kept because the store has compacted the revision of
+    // its removal.
+    void listsAgainAfterCompaction()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/a", 3), item("p/b", 4)}, false, 10});
         one.mirror.beginStoreCall();
         one.mirror.failed(at(2), StoreFault::HistoryGone);
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(2)));
-        CPPUNIT_ASSERT(isList(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
         one.mirror.listed({{item("p/b", 4)}, false, 30});
-        CPPUNIT_ASSERT(!one.seen.contains("p/a"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {30}, watchedFrom(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT(!one.items.contains("p/a"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {30}, watchRevision(one.mirror.beginStoreCall()));
     }
 
-    // A node that was cut off hears a newer state from another one; then its own watch, asked for
-    // before, is answered with older changes. What was in force must not come back.
-    void neverGoesBack()
+    // Guards against older changes from a late watch that overwrite a newer state from a peer.
+    void neverRevertsToOlderRevision()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/a", 3, "old")}, false, 10});
         one.mirror.beginPeerCall();
         one.mirror.told(whole(20, {{"p/a", 18, "new"}}));
         one.mirror.watched(at(0), {{{"p/a", 12, "between"}}, 12});
-        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.seen["p/a"]);
+        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
         one.mirror.told(whole(15, {{"p/a", 12, "between"}}));
-        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.seen["p/a"]);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchedFrom(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
     }
 
-    // The store turns this node away from its start and serves the others. Without their copies
-    // it would know no route and no server until the store answers.
-    void newsOfAPeerBridgeAnOutage()
+    // Guards against an empty mirror on a new node while the store refuses its calls.
+    void peerReplacesUnreachableStore()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.beginStoreCall();
         one.mirror.failed(at(1), StoreFault::Refused);
         CPPUNIT_ASSERT(!one.mirror.isKnown());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {0}, one.mirror.beginPeerCall());
         one.mirror.told(whole(20, {{"p/a", 18, "v"}}));
         CPPUNIT_ASSERT(one.mirror.isKnown());
-        CPPUNIT_ASSERT(one.seen.contains("p/a"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchedFrom(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT(one.items.contains("p/a"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
     }
 
-    // A removal reaches a node over another one that watches the store, also where that one finds
-    // it out by listing anew because the history of the store is gone.
-    void removalsAreToldToOthers()
+    // Guards against a removal that followers miss, also if it is detected only by a new listing.
+    void removalsReachFollowers()
     {
-        Watched watcher;
+        CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/a", 3), item("p/b", 4)}, false, 10});
         CPPUNIT_ASSERT(!watcher.mirror.takeHeard().has_value());
-        Watched asker;
-        asker.mirror.beginPeerCall();
-        CPPUNIT_ASSERT(asker.mirror.told(watcher.mirror.whole()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {2}, asker.seen.size());
+        CollectingMirror follower;
+        follower.mirror.beginPeerCall();
+        CPPUNIT_ASSERT(follower.mirror.told(watcher.mirror.whole()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t {2}, follower.items.size());
         watcher.mirror.watched(at(0), {{{"p/a", 11, std::nullopt}, {"p/c", 12, "v"}}, 12});
-        passOn(watcher, asker);
+        forwardUpdate(watcher, follower);
         watcher.mirror.failed(at(1), StoreFault::HistoryGone);
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/c", 12)}, false, 40});
-        passOn(watcher, asker);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {40}, asker.mirror.asOf());
+        forwardUpdate(watcher, follower);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {40}, follower.mirror.asOf());
     }
 
-    /** Guards against a listing of which others are told the last page only. */
-    void aListingOfManyPagesIsToldWhole()
+    /** Guards against followers that get only the last page of a listing. */
+    void allPagesFormOneUpdate()
     {
-        Watched watcher;
+        CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/a", 3), item("p/b", 4), item("p/c", 5)}, false, 10});
         watcher.mirror.takeHeard();
-        Watched asker;
-        CPPUNIT_ASSERT(asker.mirror.told(watcher.mirror.whole()));
+        CollectingMirror follower;
+        CPPUNIT_ASSERT(follower.mirror.told(watcher.mirror.whole()));
         watcher.mirror.beginStoreCall();
         watcher.mirror.failed(at(1), StoreFault::HistoryGone);
         watcher.mirror.beginStoreCall();
@@ -197,58 +193,58 @@
         CPPUNIT_ASSERT(!watcher.mirror.takeHeard().has_value());
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/c", 21, "new")}, false, 31});
-        passOn(watcher, asker);
-        CPPUNIT_ASSERT_EQUAL(std::string("new"), asker.seen["p/a"]);
-        CPPUNIT_ASSERT(!asker.seen.contains("p/b"));
+        forwardUpdate(watcher, follower);
+        CPPUNIT_ASSERT_EQUAL(std::string("new"), follower.items["p/a"]);
+        CPPUNIT_ASSERT(!follower.items.contains("p/b"));
     }
 
-    /** Guards against a server that is back on other nodes after it has gone. */
-    void whatVanishedDuringAListingIsNotTold()
+    /** Guards against a removed item that followers get back. */
+    void itemRemovedDuringListingStaysRemoved()
     {
-        Watched watcher;
+        CollectingMirror watcher;
         watcher.mirror.told(whole(10, {{"p/a", 9, "v"}}));
         watcher.mirror.refresh();
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/b", 12)}, true, 12});
         watcher.mirror.told({10, 14, false, {{"p/b", 12, "v"}, {"p/b", 14, std::nullopt}}});
-        Watched asker;
-        asker.mirror.told(watcher.mirror.whole());
+        CollectingMirror follower;
+        follower.mirror.told(watcher.mirror.whole());
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/c", 15)}, false, 16});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {14}, watcher.mirror.asOf());
         watcher.mirror.beginStoreCall();
         watcher.mirror.watched(at(0), {{{"p/c", 15, "v"}}, 16});
-        passOn(watcher, asker);
-        CPPUNIT_ASSERT(!asker.seen.contains("p/b"));
+        forwardUpdate(watcher, follower);
+        CPPUNIT_ASSERT(!follower.items.contains("p/b"));
     }
 
-    /** Guards against changes that are lost between two blocks of news. */
-    void newsThatDoNotFollowAreNotTaken()
+    /** Guards against changes that are lost between two updates. */
+    void rejectsUpdateAfterGap()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
         CPPUNIT_ASSERT(!one.mirror.told({12, 14, false, {{"p/a", 13, "new"}}}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, one.mirror.asOf());
         CPPUNIT_ASSERT(one.mirror.told({8, 14, false, {{"p/a", 13, "new"}}}));
-        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.seen["p/a"]);
+        CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
     }
 
-    /** Guards against what vanished being there again after news that reach further back. */
-    void newsThatOverlapChangeNothing()
+    /** Guards against a removed item that comes back with an overlapping update. */
+    void overlappingUpdateIsIdempotent()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
         const MirrorNews first {10, 14, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}}};
         CPPUNIT_ASSERT(one.mirror.told(first));
         CPPUNIT_ASSERT(one.mirror.told(
             {10, 15, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}, {"p/c", 15, "v"}}}));
-        CPPUNIT_ASSERT(!one.seen.contains("p/b"));
-        CPPUNIT_ASSERT(one.seen.contains("p/c"));
+        CPPUNIT_ASSERT(!one.items.contains("p/b"));
+        CPPUNIT_ASSERT(one.items.contains("p/c"));
     }
 
-    void asksAtOnceAfterStandingStill()
+    void refreshStartsListingAtOnce()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/a", 3)}, false, 10});
         one.mirror.beginStoreCall();
@@ -256,14 +252,14 @@
         one.mirror.refresh();
         CPPUNIT_ASSERT(before != one.mirror.generation());
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(2)));
-        CPPUNIT_ASSERT(isList(one.mirror.beginStoreCall()));
+        CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
         one.mirror.listed({{}, false, 11});
-        CPPUNIT_ASSERT(one.seen.empty());
+        CPPUNIT_ASSERT(one.items.empty());
     }
 
-    void pausesWhileTheStoreIsAway()
+    void backsOffWhileStoreIsUnreachable()
     {
-        Watched one;
+        CollectingMirror one;
         int calls = 0;
         for (int time = 0; time < 10'000; time += 10) {
             if (!one.mirror.isBusy(at(time))) {
@@ -276,12 +272,10 @@
         CPPUNIT_ASSERT(calls < 50);
     }
 
-    // A third of a fleet's servers are replaced, and each entry changes several times a second. If
-    // each change ended a watch that was begun again at once, each watcher would make as many paid
-    // calls a second as there are changes.
-    void collectsChangesBetweenWatches()
+    // Guards against one billed call for each change when changes are frequent.
+    void batchesChangesBetweenWatches()
     {
-        Watched one;
+        CollectingMirror one;
         one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
         int calls = 0;
         std::uint64_t revision = 10;
@@ -294,24 +288,25 @@
             }
         }
         CPPUNIT_ASSERT(calls <= 51);
-        // A watch that brought nothing is begun again at once: the next change must not wait.
+        // After a watch without changes the next one starts at once, so that a change is not
+        // delayed.
         one.mirror.beginStoreCall();
         one.mirror.watched(at(20'000), {{}, revision});
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(20'000)));
     }
 
-    void anyOrderOfNewsEndsAtTheNewest()
+    void anyOrderEndsAtNewestRevision()
     {
         const bool isOk = rc::check("mirror follows the newest news", [] {
             const auto revisions = *rc::gen::container<std::vector<std::uint64_t>>(
                 rc::gen::inRange<std::uint64_t>(1, 50));
-            Watched one;
+            CollectingMirror one;
             std::uint64_t newest = 0;
             for (const std::uint64_t revision : revisions) {
                 newest = std::max(newest, revision);
                 one.mirror.told(whole(revision, {{"p/a", revision, std::to_string(revision)}}));
                 RC_ASSERT(one.mirror.asOf() == newest);
-                RC_ASSERT(one.seen["p/a"] == std::to_string(newest));
+                RC_ASSERT(one.items["p/a"] == std::to_string(newest));
             }
         });
         CPPUNIT_ASSERT(isOk);
