--- a/src/edge/mirrorexchange.cpp
+++ b/src/edge/mirrorexchange.cpp
@@ -110,10 +110,10 @@
     return change;
 }
 
-bool isUsable(const MirrorNews &news)
+bool isUsable(const MirrorUpdate &news)
 {
     for (const StoredChange &change : news.changes) {
-        if (change.key.empty() || (news.isWhole && !change.value)) {
+        if (change.key.empty() || (news.isSnapshot && !change.value)) {
             return false;
         }
     }
@@ -145,7 +145,7 @@
 
 } // namespace
 
-NewsBlock encodeNews(const MirrorNews &news)
+EncodedUpdate encodeUpdate(const MirrorUpdate &news)
 {
     msgpack::sbuffer buffer;
     Packer packer(buffer);
@@ -153,25 +153,25 @@
     packer.pack(Version);
     packer.pack(news.after);
     packer.pack(news.asOf);
-    packer.pack(news.isWhole);
+    packer.pack(news.isSnapshot);
     packer.pack_array(static_cast<std::uint32_t>(news.changes.size()));
     for (const StoredChange &change : news.changes) {
         packChange(packer, change);
     }
-    return {news.after, news.asOf, news.isWhole,
+    return {news.after, news.asOf, news.isSnapshot,
             std::make_shared<const std::string>(compressed(textOf(buffer)))};
 }
 
-std::optional<MirrorNews> decodeNews(const std::string &bytes)
+std::optional<MirrorUpdate> decodeUpdate(const std::string &bytes)
 {
     const auto text = decompressed(bytes);
     if (!text) {
         return std::nullopt;
     }
-    auto news = unpacked<MirrorNews>(*text, BlockMembers, [](const msgpack::object *members) {
-        return MirrorNews {members[After].as<std::uint64_t>(), members[AsOf].as<std::uint64_t>(),
-                           members[IsWhole].as<bool>(),
-                           listIn<StoredChange>(members[Changes], changeIn)};
+    auto news = unpacked<MirrorUpdate>(*text, BlockMembers, [](const msgpack::object *members) {
+        return MirrorUpdate {members[After].as<std::uint64_t>(), members[AsOf].as<std::uint64_t>(),
+                             members[IsWhole].as<bool>(),
+                             listIn<StoredChange>(members[Changes], changeIn)};
     });
     return news && isUsable(*news) ? std::move(news) : std::nullopt;
 }
--- a/src/edge/mirrorexchange.h
+++ b/src/edge/mirrorexchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "store/mirror.h"
-#include "store/newslog.h"
+#include "store/updatelog.h"
 
 #include <optional>
 #include <string>
@@ -25,9 +25,9 @@
  * One block of news: MessagePack, compressed with zstd. Members that a later version adds at the
  * end of an array are ignored.
  */
-NewsBlock encodeNews(const MirrorNews &news);
+EncodedUpdate encodeUpdate(const MirrorUpdate &news);
 /** Nothing if @p bytes are not that. */
-std::optional<MirrorNews> decodeNews(const std::string &bytes);
+std::optional<MirrorUpdate> decodeUpdate(const std::string &bytes);
 
 std::string encodeAnswer(const MirrorAnswer &answer);
 /** Nothing if @p bytes are not that. */
--- a/src/edge/newsanswers.cpp
+++ b/src/edge/newsanswers.cpp
@@ -27,9 +27,9 @@
 
 void NewsAnswers::passOnHeard(Mirror &mirror)
 {
-    if (const auto heard = mirror.takeHeard()) {
-        m_news.add(encodeNews(*heard));
-    } else if (m_news.upTo() < mirror.asOf()) {
+    if (const auto heard = mirror.takeStoreUpdate()) {
+        m_news.add(encodeUpdate(*heard));
+    } else if (m_news.asOf() < mirror.asOf()) {
         m_news.startAt(mirror.asOf());
     }
 }
@@ -62,19 +62,19 @@
 {
     MirrorAnswer answer;
     answer.held = bootNow - question.arrived;
-    if (m_news.needsWhole(question.revision) && !m_copyTurns.mayBegin(now)) {
+    if (m_news.needsSnapshot(question.revision) && !m_copyTurns.mayBegin(now)) {
         answer.elsewhere = {m_followers.begin(), m_followers.end()};
         return encodeAnswer(answer);
     }
     const auto blocks =
-        m_news.since(question.revision, [this] { return encodeNews(m_mirror.whole()); });
-    for (const NewsBlock &block : blocks) {
+        m_news.since(question.revision, [this] { return encodeUpdate(m_mirror.snapshot()); });
+    for (const EncodedUpdate &block : blocks) {
         answer.blocks.push_back(*block.bytes);
-        if (block.isWhole) {
+        if (block.isSnapshot) {
             m_copyTurns.begin(now, block.bytes->size());
         }
     }
-    if (blocks.empty() || blocks.back().upTo == m_mirror.asOf()) {
+    if (blocks.empty() || blocks.back().asOf == m_mirror.asOf()) {
         answer.age = m_proof.age(bootNow);
     }
     if (question.revision > 0 || !blocks.empty()) {
--- a/src/edge/newsanswers.h
+++ b/src/edge/newsanswers.h
@@ -5,7 +5,7 @@
 #include "store/copyproof.h"
 #include "store/copyturns.h"
 #include "store/mirror.h"
-#include "store/newslog.h"
+#include "store/updatelog.h"
 
 #include <cstdint>
 #include <deque>
@@ -36,7 +36,7 @@
               TimePoint now, BootTime arrived);
     void askerGone(ExchangeNumber exchange) { m_questions.erase(exchange); }
     /** A block that another node has told, as it came. */
-    void passOn(NewsBlock block) { m_news.add(std::move(block)); }
+    void passOn(EncodedUpdate block) { m_news.add(std::move(block)); }
     /** What the store has told the mirror. */
     void passOnHeard(Mirror &mirror);
     /** @p isCurrent: this node hears the store; @p mayHear: it does, or may in a moment. */
@@ -59,7 +59,7 @@
     const Mirror &m_mirror;
     const CopyProof &m_proof;
     Duration m_heldFor;
-    NewsLog m_news;
+    UpdateLog m_news;
     CopyTurns m_copyTurns;
     std::map<ExchangeNumber, Question> m_questions;
     std::deque<std::string> m_followers; ///< Their control addresses, the latest last.
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -234,12 +234,12 @@
 
 bool StateSync::takeBlock(const std::string &bytes)
 {
-    const auto news = decodeNews(bytes);
-    if (!news || !m_mirror.told(*news)) {
+    const auto news = decodeUpdate(bytes);
+    if (!news || !m_mirror.applyUpdate(*news)) {
         return false;
     }
     m_answers.passOn(
-        {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(bytes)});
+        {news->after, news->asOf, news->isSnapshot, std::make_shared<const std::string>(bytes)});
     return true;
 }
 
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -110,12 +110,12 @@
     m_asOf = std::max(m_asOf, changes.asOf);
 }
 
-bool Mirror::told(const MirrorNews &news)
+bool Mirror::applyUpdate(const MirrorUpdate &news)
 {
     if (news.asOf <= m_asOf) {
         return true;
     }
-    if (!news.isWhole) {
+    if (!news.isSnapshot) {
         if (news.after > m_asOf) {
             return false;
         }
@@ -132,7 +132,7 @@
     m_asOf = news.asOf;
     m_needsListing = false;
     m_listCursor.clear();
-    // Followers get the same update unchanged, see NewsLog.
+    // Followers get the same update unchanged, see UpdateLog.
     m_storeUpdate = {};
     return true;
 }
@@ -161,11 +161,11 @@
     m_nextCallAt.reset();
 }
 
-MirrorNews Mirror::whole() const
+MirrorUpdate Mirror::snapshot() const
 {
-    MirrorNews news;
+    MirrorUpdate news;
     news.asOf = m_asOf;
-    news.isWhole = true;
+    news.isSnapshot = true;
     news.changes.reserve(m_items.size());
     for (const auto &[key, item] : m_items) {
         news.changes.push_back({key, item.revision, item.value, item.created});
@@ -173,12 +173,12 @@
     return news;
 }
 
-std::optional<MirrorNews> Mirror::takeHeard()
+std::optional<MirrorUpdate> Mirror::takeStoreUpdate()
 {
     if (m_needsListing) {
         return std::nullopt; // All pages of a listing are passed on as one update.
     }
-    MirrorNews update = std::exchange(m_storeUpdate, {});
+    MirrorUpdate update = std::exchange(m_storeUpdate, {});
     if (update.after == 0 || update.asOf <= update.after) {
         return std::nullopt;
     }
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -23,11 +23,11 @@
 using MirrorCall = std::variant<ListCall, WatchCall>;
 
 /** A change of the mirrored items as one node sends it to another. */
-struct MirrorNews
+struct MirrorUpdate
 {
     std::uint64_t after = 0; ///< Lowest revision of a mirror that can apply it.
     std::uint64_t asOf = 0;  ///< Revision of the mirror after it is applied.
-    bool isWhole = false;    ///< True if it holds all items, otherwise only the changed ones.
+    bool isSnapshot = false; ///< True if it holds all items, otherwise only the changed ones.
     std::vector<StoredChange> changes;
 };
 
@@ -70,7 +70,7 @@
      * Applies an update from a peer.
      * @return false, without any effect, if the update begins after the revision of this copy
      */
-    bool told(const MirrorNews &news);
+    bool applyUpdate(const MirrorUpdate &news);
     void failed(TimePoint now, StoreFault fault);
     /**
      * Starts a new listing and abandons any call in flight, since changes may have been missed
@@ -91,12 +91,12 @@
     bool isKnown() const { return m_asOf > 0; }
     std::uint64_t asOf() const { return m_asOf; }
     /** Returns an update with all items. */
-    MirrorNews whole() const;
+    MirrorUpdate snapshot() const;
     /**
      * Returns and clears the changes from the store since the last call; nothing if there are none
      * or a listing is in progress.
      */
-    std::optional<MirrorNews> takeHeard();
+    std::optional<MirrorUpdate> takeStoreUpdate();
 
 private:
     void applyChanges(const StoredChanges &changes);
@@ -121,7 +121,7 @@
     std::map<std::string, std::uint64_t> m_listedRevisions;
     std::optional<TimePoint> m_nextCallAt;
     std::uint32_t m_failures = 0;
-    MirrorNews m_storeUpdate; ///< Changes from the store that takeHeard() has not returned yet.
+    MirrorUpdate m_storeUpdate; ///< Changes from the store that takeHeard() has not returned yet.
 };
 
 } // namespace indigoway
--- a/src/store/newslog.cpp
+++ b/src/store/updatelog.cpp
@@ -1,10 +1,10 @@
-#include "newslog.h"
+#include "updatelog.h"
 
 #include <utility>
 
 namespace indigoway {
 
-void NewsLog::startAt(std::uint64_t revision)
+void UpdateLog::startAt(std::uint64_t revision)
 {
     m_updates.clear();
     m_logBytes = 0;
@@ -13,49 +13,50 @@
     m_asOf = revision;
 }
 
-void NewsLog::add(NewsBlock update)
+void UpdateLog::add(EncodedUpdate update)
 {
-    if (update.upTo <= m_asOf) {
+    if (update.asOf <= m_asOf) {
         return;
     }
-    if (update.isWhole) {
+    if (update.isSnapshot) {
         cacheSnapshot(std::move(update));
         return;
     }
     if (update.after > m_asOf) {
         startAt(update.after);
     }
-    m_asOf = update.upTo;
+    m_asOf = update.asOf;
     m_logBytes += update.bytes->size();
     m_updates.push_back(std::move(update));
     while (m_logBytes > MaxLogBytes && m_updates.size() > 1) {
         m_logBytes -= m_updates.front().bytes->size();
-        m_startRevision = m_updates.front().upTo;
+        m_startRevision = m_updates.front().asOf;
         m_updates.pop_front();
     }
-    if (m_snapshot && m_snapshot->upTo < m_startRevision) {
+    if (m_snapshot && m_snapshot->asOf < m_startRevision) {
         m_snapshot.reset();
     }
 }
 
-void NewsLog::cacheSnapshot(NewsBlock update)
+void UpdateLog::cacheSnapshot(EncodedUpdate update)
 {
-    startAt(update.upTo);
+    startAt(update.asOf);
     m_snapshot = std::move(update);
 }
 
-bool NewsLog::needsWhole(std::uint64_t revision) const
+bool UpdateLog::needsSnapshot(std::uint64_t revision) const
 {
     return revision == 0 || revision < m_startRevision;
 }
 
-std::vector<NewsBlock> NewsLog::since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot)
+std::vector<EncodedUpdate> UpdateLog::since(std::uint64_t revision,
+                                            const EncodeSnapshot &encodeSnapshot)
 {
-    std::vector<NewsBlock> updates;
+    std::vector<EncodedUpdate> updates;
     if (revision >= m_asOf) {
         return updates;
     }
-    if (!needsWhole(revision)) {
+    if (!needsSnapshot(revision)) {
         appendUpdates(updates, revision);
         return updates;
     }
@@ -63,29 +64,29 @@
         m_snapshot = encodeSnapshot();
     }
     updates.push_back(*m_snapshot);
-    appendUpdates(updates, m_snapshot->upTo);
+    appendUpdates(updates, m_snapshot->asOf);
     return updates;
 }
 
-bool NewsLog::isSnapshotOutdated() const
+bool UpdateLog::isSnapshotOutdated() const
 {
-    return !m_snapshot || bytesAfter(m_snapshot->upTo) > m_snapshot->bytes->size() / 2;
+    return !m_snapshot || bytesAfter(m_snapshot->asOf) > m_snapshot->bytes->size() / 2;
 }
 
-std::size_t NewsLog::bytesAfter(std::uint64_t revision) const
+std::size_t UpdateLog::bytesAfter(std::uint64_t revision) const
 {
     std::size_t bytes = 0;
-    for (const NewsBlock &update : m_updates) {
-        bytes += update.upTo > revision ? update.bytes->size() : 0;
+    for (const EncodedUpdate &update : m_updates) {
+        bytes += update.asOf > revision ? update.bytes->size() : 0;
     }
     return bytes;
 }
 
-void NewsLog::appendUpdates(std::vector<NewsBlock> &updates, std::uint64_t revision) const
+void UpdateLog::appendUpdates(std::vector<EncodedUpdate> &updates, std::uint64_t revision) const
 {
     std::size_t bytes = 0;
-    for (const NewsBlock &update : m_updates) {
-        if (update.upTo <= revision) {
+    for (const EncodedUpdate &update : m_updates) {
+        if (update.asOf <= revision) {
             continue;
         }
         bytes += update.bytes->size();
--- a/src/store/newslog.h
+++ b/src/store/updatelog.h
@@ -12,11 +12,11 @@
 namespace indigoway {
 
 /** An encoded update of the mirrored items, shared by all answers that contain it. */
-struct NewsBlock
+struct EncodedUpdate
 {
     std::uint64_t after = 0; ///< Lowest revision of a mirror that can apply it.
-    std::uint64_t upTo = 0;  ///< Revision of the mirror after it is applied.
-    bool isWhole = false;    ///< True if it holds all items, so that any mirror can apply it.
+    std::uint64_t asOf = 0;  ///< Revision of the mirror after it is applied.
+    bool isSnapshot = false; ///< True if it holds all items, so that any mirror can apply it.
     std::shared_ptr<const std::string> bytes;
 };
 
@@ -24,11 +24,11 @@
  * Keeps the latest updates of the local copy in encoded form, to be sent to other nodes. Updates
  * from another node are passed on unchanged, so each change is encoded only once in the fleet.
  */
-class NewsLog
+class UpdateLog
 {
 public:
     /** Encodes all items of the local copy. */
-    using EncodeSnapshot = std::function<NewsBlock()>;
+    using EncodeSnapshot = std::function<EncodedUpdate()>;
 
     /**
      * The maximum size of the kept updates in bytes; a node that is further behind gets a snapshot.
@@ -43,30 +43,30 @@
     /** Clears the log; the local copy has reached @p revision without an encoded update. */
     void startAt(std::uint64_t revision);
     /** Appends an update. If it leaves a gap after the previous ones, the log restarts with it. */
-    void add(NewsBlock update);
+    void add(EncodedUpdate update);
     /** Returns true if a mirror at @p revision can only be updated by a snapshot. */
-    bool needsWhole(std::uint64_t revision) const;
+    bool needsSnapshot(std::uint64_t revision) const;
     /** Returns the updates that follow @p revision in order, after a snapshot if one is needed;
      * empty if there are none. */
-    std::vector<NewsBlock> since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot);
-    std::uint64_t upTo() const { return m_asOf; }
+    std::vector<EncodedUpdate> since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot);
+    std::uint64_t asOf() const { return m_asOf; }
     std::size_t logBytes() const { return m_logBytes; }
 
 private:
-    void cacheSnapshot(NewsBlock update);
+    void cacheSnapshot(EncodedUpdate update);
     /**
      * Returns true if there is no cached snapshot, or if the updates after it are so long that a
      * new one makes the answer shorter.
      */
     bool isSnapshotOutdated() const;
     std::size_t bytesAfter(std::uint64_t revision) const;
-    void appendUpdates(std::vector<NewsBlock> &updates, std::uint64_t revision) const;
+    void appendUpdates(std::vector<EncodedUpdate> &updates, std::uint64_t revision) const;
 
-    std::deque<NewsBlock> m_updates;
+    std::deque<EncodedUpdate> m_updates;
     std::size_t m_logBytes = 0;        ///< Size of m_updates in bytes.
     std::uint64_t m_startRevision = 0; ///< Revision after which m_updates holds all changes.
     std::uint64_t m_asOf = 0;
-    std::optional<NewsBlock> m_snapshot;
+    std::optional<EncodedUpdate> m_snapshot;
 };
 
 } // namespace indigoway
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -323,11 +323,11 @@
         return;
     }
     for (const std::string &block : answer->blocks) {
-        const auto news = decodeNews(block);
+        const auto news = decodeUpdate(block);
         CPPUNIT_ASSERT(news.has_value());
-        CPPUNIT_ASSERT(m_mirror.told(*news));
-        m_answers.passOn(
-            {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(block)});
+        CPPUNIT_ASSERT(m_mirror.applyUpdate(*news));
+        m_answers.passOn({news->after, news->asOf, news->isSnapshot,
+                          std::make_shared<const std::string>(block)});
     }
     m_mirror.peerAnswered();
     if (!m_mirror.isKnown()) {
--- a/tests/edge/mirrorexchangetest.cpp
+++ b/tests/edge/mirrorexchangetest.cpp
@@ -29,11 +29,11 @@
     void newsSurviveTheirEncoding()
     {
         const std::string bytes("\0\xff{\"}", 5);
-        const NewsBlock block =
-            encodeNews({3, 9, false, {{"k", 4, bytes, 2}, {"gone", 5, std::nullopt}}});
+        const EncodedUpdate block =
+            encodeUpdate({3, 9, false, {{"k", 4, bytes, 2}, {"gone", 5, std::nullopt}}});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {3}, block.after);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {9}, block.upTo);
-        const auto decoded = decodeNews(*block.bytes);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {9}, block.asOf);
+        const auto decoded = decodeUpdate(*block.bytes);
         CPPUNIT_ASSERT(decoded.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {3}, decoded->after);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {9}, decoded->asOf);
@@ -45,7 +45,7 @@
     void anyNewsSurviveTheirEncoding()
     {
         const bool isOk = rc::check("news survive their encoding", [] {
-            MirrorNews news;
+            MirrorUpdate news;
             news.after = *rc::gen::arbitrary<std::uint64_t>();
             news.asOf = *rc::gen::arbitrary<std::uint64_t>();
             for (const auto &key : *rc::gen::arbitrary<std::vector<std::string>>()) {
@@ -55,7 +55,7 @@
                 }
                 news.changes.push_back(change);
             }
-            const auto decoded = decodeNews(*encodeNews(news).bytes);
+            const auto decoded = decodeUpdate(*encodeUpdate(news).bytes);
             RC_ASSERT(decoded.has_value());
             RC_ASSERT(decoded->after == news.after);
             RC_ASSERT(decoded->asOf == news.asOf);
@@ -83,26 +83,26 @@
     /** Guards against an item without a value that would stand for a removal in a whole copy. */
     void newsWithoutAKeyOrAValueAreRefused()
     {
-        CPPUNIT_ASSERT(!decodeNews(*encodeNews({0, 1, true, {{"a", 1, std::nullopt}}}).bytes));
-        CPPUNIT_ASSERT(!decodeNews(*encodeNews({0, 1, false, {{"", 1, "v"}}}).bytes));
+        CPPUNIT_ASSERT(!decodeUpdate(*encodeUpdate({0, 1, true, {{"a", 1, std::nullopt}}}).bytes));
+        CPPUNIT_ASSERT(!decodeUpdate(*encodeUpdate({0, 1, false, {{"", 1, "v"}}}).bytes));
     }
 
     /** Guards against bytes of another version, or cut ones, that end the process. */
     void damagedBytesAreRefused()
     {
-        CPPUNIT_ASSERT(!decodeNews("").has_value());
-        CPPUNIT_ASSERT(!decodeNews("[]").has_value());
+        CPPUNIT_ASSERT(!decodeUpdate("").has_value());
+        CPPUNIT_ASSERT(!decodeUpdate("[]").has_value());
         CPPUNIT_ASSERT(!decodeAnswer("").has_value());
         CPPUNIT_ASSERT(!decodeAnswer("{}").has_value());
         const bool isOk = rc::check("damaged bytes are read or refused", [] {
-            std::string block = *encodeNews({1, 2, false, {{"key", 2, "value"}}}).bytes;
+            std::string block = *encodeUpdate({1, 2, false, {{"key", 2, "value"}}}).bytes;
             std::string answer = encodeAnswer({{block}, Duration(1), Duration(2), {"a:1"}});
             for (std::string *bytes : {&block, &answer}) {
                 const auto place = *rc::gen::inRange<std::size_t>(0, bytes->size());
                 (*bytes)[place] = *rc::gen::arbitrary<char>();
                 bytes->resize(*rc::gen::inRange<std::size_t>(0, bytes->size() + 1));
             }
-            decodeNews(block);
+            decodeUpdate(block);
             decodeAnswer(answer);
         });
         CPPUNIT_ASSERT(isOk);
--- a/tests/store/mirrortest.cpp
+++ b/tests/store/mirrortest.cpp
@@ -47,7 +47,7 @@
     return std::get<WatchCall>(call).revision;
 }
 
-MirrorNews whole(std::uint64_t asOf, std::vector<StoredChange> items)
+MirrorUpdate whole(std::uint64_t asOf, std::vector<StoredChange> items)
 {
     return {0, asOf, true, std::move(items)};
 }
@@ -55,9 +55,9 @@
 /** Passes the changes that @p watcher has got from the store on to @p follower. */
 void forwardUpdate(CollectingMirror &watcher, CollectingMirror &follower)
 {
-    const auto update = watcher.mirror.takeHeard();
+    const auto update = watcher.mirror.takeStoreUpdate();
     CPPUNIT_ASSERT(update.has_value());
-    CPPUNIT_ASSERT(follower.mirror.told(*update));
+    CPPUNIT_ASSERT(follower.mirror.applyUpdate(*update));
     CPPUNIT_ASSERT(follower.items == watcher.items);
 }
 
@@ -135,10 +135,10 @@
         one.mirror.beginStoreCall();
         one.mirror.listed({{item("p/a", 3, "old")}, false, 10});
         one.mirror.beginPeerCall();
-        one.mirror.told(whole(20, {{"p/a", 18, "new"}}));
+        one.mirror.applyUpdate(whole(20, {{"p/a", 18, "new"}}));
         one.mirror.watched(at(0), {{{"p/a", 12, "between"}}, 12});
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
-        one.mirror.told(whole(15, {{"p/a", 12, "between"}}));
+        one.mirror.applyUpdate(whole(15, {{"p/a", 12, "between"}}));
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
     }
@@ -151,7 +151,7 @@
         one.mirror.failed(at(1), StoreFault::Refused);
         CPPUNIT_ASSERT(!one.mirror.isKnown());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {0}, one.mirror.beginPeerCall());
-        one.mirror.told(whole(20, {{"p/a", 18, "v"}}));
+        one.mirror.applyUpdate(whole(20, {{"p/a", 18, "v"}}));
         CPPUNIT_ASSERT(one.mirror.isKnown());
         CPPUNIT_ASSERT(one.items.contains("p/a"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
@@ -163,10 +163,10 @@
         CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/a", 3), item("p/b", 4)}, false, 10});
-        CPPUNIT_ASSERT(!watcher.mirror.takeHeard().has_value());
+        CPPUNIT_ASSERT(!watcher.mirror.takeStoreUpdate().has_value());
         CollectingMirror follower;
         follower.mirror.beginPeerCall();
-        CPPUNIT_ASSERT(follower.mirror.told(watcher.mirror.whole()));
+        CPPUNIT_ASSERT(follower.mirror.applyUpdate(watcher.mirror.snapshot()));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, follower.items.size());
         watcher.mirror.watched(at(0), {{{"p/a", 11, std::nullopt}, {"p/c", 12, "v"}}, 12});
         forwardUpdate(watcher, follower);
@@ -183,14 +183,14 @@
         CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/a", 3), item("p/b", 4), item("p/c", 5)}, false, 10});
-        watcher.mirror.takeHeard();
+        watcher.mirror.takeStoreUpdate();
         CollectingMirror follower;
-        CPPUNIT_ASSERT(follower.mirror.told(watcher.mirror.whole()));
+        CPPUNIT_ASSERT(follower.mirror.applyUpdate(watcher.mirror.snapshot()));
         watcher.mirror.beginStoreCall();
         watcher.mirror.failed(at(1), StoreFault::HistoryGone);
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/a", 20, "new")}, true, 30});
-        CPPUNIT_ASSERT(!watcher.mirror.takeHeard().has_value());
+        CPPUNIT_ASSERT(!watcher.mirror.takeStoreUpdate().has_value());
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/c", 21, "new")}, false, 31});
         forwardUpdate(watcher, follower);
@@ -202,13 +202,13 @@
     void itemRemovedDuringListingStaysRemoved()
     {
         CollectingMirror watcher;
-        watcher.mirror.told(whole(10, {{"p/a", 9, "v"}}));
+        watcher.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
         watcher.mirror.refresh();
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/b", 12)}, true, 12});
-        watcher.mirror.told({10, 14, false, {{"p/b", 12, "v"}, {"p/b", 14, std::nullopt}}});
+        watcher.mirror.applyUpdate({10, 14, false, {{"p/b", 12, "v"}, {"p/b", 14, std::nullopt}}});
         CollectingMirror follower;
-        follower.mirror.told(watcher.mirror.whole());
+        follower.mirror.applyUpdate(watcher.mirror.snapshot());
         watcher.mirror.beginStoreCall();
         watcher.mirror.listed({{item("p/c", 15)}, false, 16});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {14}, watcher.mirror.asOf());
@@ -222,10 +222,10 @@
     void rejectsUpdateAfterGap()
     {
         CollectingMirror one;
-        one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
-        CPPUNIT_ASSERT(!one.mirror.told({12, 14, false, {{"p/a", 13, "new"}}}));
+        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        CPPUNIT_ASSERT(!one.mirror.applyUpdate({12, 14, false, {{"p/a", 13, "new"}}}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, one.mirror.asOf());
-        CPPUNIT_ASSERT(one.mirror.told({8, 14, false, {{"p/a", 13, "new"}}}));
+        CPPUNIT_ASSERT(one.mirror.applyUpdate({8, 14, false, {{"p/a", 13, "new"}}}));
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
     }
 
@@ -233,10 +233,10 @@
     void overlappingUpdateIsIdempotent()
     {
         CollectingMirror one;
-        one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
-        const MirrorNews first {10, 14, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}}};
-        CPPUNIT_ASSERT(one.mirror.told(first));
-        CPPUNIT_ASSERT(one.mirror.told(
+        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        const MirrorUpdate first {10, 14, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}}};
+        CPPUNIT_ASSERT(one.mirror.applyUpdate(first));
+        CPPUNIT_ASSERT(one.mirror.applyUpdate(
             {10, 15, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}, {"p/c", 15, "v"}}}));
         CPPUNIT_ASSERT(!one.items.contains("p/b"));
         CPPUNIT_ASSERT(one.items.contains("p/c"));
@@ -276,7 +276,7 @@
     void batchesChangesBetweenWatches()
     {
         CollectingMirror one;
-        one.mirror.told(whole(10, {{"p/a", 9, "v"}}));
+        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
         int calls = 0;
         std::uint64_t revision = 10;
         for (int time = 0; time < 10'000; time += 5) {
@@ -304,7 +304,8 @@
             std::uint64_t newest = 0;
             for (const std::uint64_t revision : revisions) {
                 newest = std::max(newest, revision);
-                one.mirror.told(whole(revision, {{"p/a", revision, std::to_string(revision)}}));
+                one.mirror.applyUpdate(
+                    whole(revision, {{"p/a", revision, std::to_string(revision)}}));
                 RC_ASSERT(one.mirror.asOf() == newest);
                 RC_ASSERT(one.items["p/a"] == std::to_string(newest));
             }
--- a/tests/store/newslogtest.cpp
+++ b/tests/store/updatelogtest.cpp
@@ -1,4 +1,4 @@
-#include "store/newslog.h"
+#include "store/updatelog.h"
 
 #include "edge/mirrorexchange.h"
 #include "store/copyturns.h"
@@ -21,7 +21,7 @@
     return TimePoint {} + std::chrono::hours(1) + std::chrono::milliseconds(milliseconds);
 }
 
-NewsBlock block(std::uint64_t after, std::uint64_t upTo, std::size_t bytes = 100)
+EncodedUpdate block(std::uint64_t after, std::uint64_t upTo, std::size_t bytes = 100)
 {
     return {after, upTo, false, std::make_shared<const std::string>(bytes, 'b')};
 }
@@ -29,32 +29,32 @@
 /** A log that counts how often a snapshot is encoded. */
 struct CountingLog
 {
-    std::vector<NewsBlock> since(std::uint64_t revision)
+    std::vector<EncodedUpdate> since(std::uint64_t revision)
     {
         return log.since(revision, [this] {
             ++snapshotCount;
-            return NewsBlock {0, log.upTo(), true,
-                              std::make_shared<const std::string>(snapshotBytes, 'w')};
+            return EncodedUpdate {0, log.asOf(), true,
+                                  std::make_shared<const std::string>(snapshotBytes, 'w')};
         });
     }
 
-    NewsLog log;
+    UpdateLog log;
     int snapshotCount = 0;
     std::size_t snapshotBytes = 10'000;
 };
 
-std::size_t bytesOf(const std::vector<NewsBlock> &blocks)
+std::size_t bytesOf(const std::vector<EncodedUpdate> &blocks)
 {
     return std::accumulate(
         blocks.begin(), blocks.end(), std::size_t {0},
-        [](std::size_t sum, const NewsBlock &one) { return sum + one.bytes->size(); });
+        [](std::size_t sum, const EncodedUpdate &one) { return sum + one.bytes->size(); });
 }
 
 } // namespace
 
-class NewsLogTest : public CppUnit::TestFixture
+class UpdateLogTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(NewsLogTest);
+    CPPUNIT_TEST_SUITE(UpdateLogTest);
     CPPUNIT_TEST(returnsFollowingUpdates);
     CPPUNIT_TEST(followersShareOneEncoding);
     CPPUNIT_TEST(answerSizeIsBounded);
@@ -77,7 +77,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, one.since(13).size());
         CPPUNIT_ASSERT(one.since(15).empty());
         CPPUNIT_ASSERT_EQUAL(0, one.snapshotCount);
-        CPPUNIT_ASSERT(one.since(9).front().isWhole);
+        CPPUNIT_ASSERT(one.since(9).front().isSnapshot);
     }
 
     /**
@@ -94,7 +94,7 @@
                 const std::string *bytes = one.since(10).front().bytes.get();
                 CPPUNIT_ASSERT(!shared || shared == bytes);
                 shared = bytes;
-                CPPUNIT_ASSERT(one.since(0).front().isWhole);
+                CPPUNIT_ASSERT(one.since(0).front().isSnapshot);
             }
             CPPUNIT_ASSERT_EQUAL(1, one.snapshotCount);
         }
@@ -115,7 +115,7 @@
             CPPUNIT_ASSERT(!updates.empty());
             CPPUNIT_ASSERT(bytesOf(updates) <= MaxAnswerBytes);
             CPPUNIT_ASSERT_EQUAL(revision, updates.front().after);
-            revision = updates.back().upTo;
+            revision = updates.back().asOf;
             ++answers;
         }
         CPPUNIT_ASSERT(answers <= 9);
@@ -129,9 +129,9 @@
             one.log.add(block(i, i + 1, 5'000));
         }
         CPPUNIT_ASSERT(one.log.logBytes() <= MaxLogBytes);
-        CPPUNIT_ASSERT(one.log.needsWhole(10));
-        CPPUNIT_ASSERT(!one.log.needsWhole(1'000));
-        CPPUNIT_ASSERT(one.since(10).front().isWhole);
+        CPPUNIT_ASSERT(one.log.needsSnapshot(10));
+        CPPUNIT_ASSERT(!one.log.needsSnapshot(1'000));
+        CPPUNIT_ASSERT(one.since(10).front().isSnapshot);
     }
 
     void gapRestartsLog()
@@ -140,10 +140,10 @@
         one.log.startAt(10);
         one.log.add(block(10, 12));
         one.log.add(block(14, 16));
-        CPPUNIT_ASSERT(one.log.needsWhole(12));
-        CPPUNIT_ASSERT(!one.log.needsWhole(14));
+        CPPUNIT_ASSERT(one.log.needsSnapshot(12));
+        CPPUNIT_ASSERT(!one.log.needsSnapshot(14));
         one.log.add(block(11, 13));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t {16}, one.log.upTo());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t {16}, one.log.asOf());
     }
 
     /** Guards against each node of a chain encoding a snapshot for the next one. */
@@ -154,7 +154,7 @@
         one.log.add(block(20, 22, 400));
         const auto updates = one.since(0);
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, updates.size());
-        CPPUNIT_ASSERT(updates.front().isWhole);
+        CPPUNIT_ASSERT(updates.front().isSnapshot);
         CPPUNIT_ASSERT_EQUAL(0, one.snapshotCount);
         // The updates have become too long compared with a new snapshot.
         one.log.add(block(22, 24, 400));
@@ -176,7 +176,7 @@
             CountingLog updateLog;
             watcher.listed({{{"first", "v", 1, 1}}, false, 1});
             updateLog.log.startAt(1);
-            follower.told(watcher.whole());
+            follower.applyUpdate(watcher.snapshot());
             std::size_t bytes = 0;
             for (std::uint64_t revision = 2; revision <= servers; revision += 50) {
                 StoredChanges changes;
@@ -185,17 +185,17 @@
                 }
                 changes.asOf = revision + 49;
                 watcher.watched(at(0), changes);
-                updateLog.log.add(encodeNews(*watcher.takeHeard()));
+                updateLog.log.add(encodeUpdate(*watcher.takeStoreUpdate()));
                 if ((revision / 50) % 10 == 0) { // The follower is slow.
-                    for (const NewsBlock &one : updateLog.since(follower.asOf())) {
+                    for (const EncodedUpdate &one : updateLog.since(follower.asOf())) {
                         bytes += one.bytes->size();
-                        CPPUNIT_ASSERT(follower.told(*decodeNews(*one.bytes)));
+                        CPPUNIT_ASSERT(follower.applyUpdate(*decodeUpdate(*one.bytes)));
                     }
                 }
             }
-            for (const NewsBlock &one : updateLog.since(follower.asOf())) {
+            for (const EncodedUpdate &one : updateLog.since(follower.asOf())) {
                 bytes += one.bytes->size();
-                CPPUNIT_ASSERT(follower.told(*decodeNews(*one.bytes)));
+                CPPUNIT_ASSERT(follower.applyUpdate(*decodeUpdate(*one.bytes)));
             }
             CPPUNIT_ASSERT_EQUAL(watcher.asOf(), follower.asOf());
             sent.push_back(bytes);
@@ -222,4 +222,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NewsLogTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UpdateLogTest);
