--- a/src/edge/newsanswers.cpp
+++ b/src/edge/newsanswers.cpp
@@ -55,7 +55,7 @@
 
 bool NewsAnswers::hasNewsFor(const Question &question) const
 {
-    return m_mirror.isKnown() && m_mirror.asOf() > question.revision;
+    return m_mirror.isLoaded() && m_mirror.asOf() > question.revision;
 }
 
 std::string NewsAnswers::answerTo(const Question &question, TimePoint now, BootTime bootNow)
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -123,7 +123,7 @@
     }
     const NodeRoster &roster = m_wiring.roster();
     const bool isLongListing =
-        !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
     const std::optional<Upstream> upstream = isLongListing
         ? m_choice.chooseForFirstCopy(now, roster, m_wiring.seeds(), m_wiring.isSeed())
         : m_choice.choose(now, roster, m_wiring.seeds());
@@ -156,7 +156,7 @@
                              failed(upstream, *fault);
                              return;
                          }
-                         m_mirror.listed(std::get<StoredPage>(result));
+                         m_mirror.applyPage(std::get<StoredPage>(result));
                          m_answers.passOnHeard(m_mirror);
                          if (!m_mirror.isListing()) {
                              m_proof.answered(m_listAskedAt, m_mirror.asOf(), m_mirror.asOf());
@@ -176,7 +176,7 @@
                           failed(upstream, *fault);
                           return;
                       }
-                      m_mirror.watched(present(), std::get<StoredChanges>(result));
+                      m_mirror.applyWatch(present(), std::get<StoredChanges>(result));
                       m_answers.passOnHeard(m_mirror);
                       succeeded(upstream);
                   });
@@ -189,7 +189,7 @@
     call.address = *upstream.peer;
     call.path = "/v1/mirror?after=" + std::to_string(m_mirror.beginPeerCall())
         + "&from=" + m_wiring.self.control;
-    call.timeout = m_mirror.isKnown() ? PeerTimeout : CopyTimeout;
+    call.timeout = m_mirror.isLoaded() ? PeerTimeout : CopyTimeout;
     call.traffic = Traffic::Peers;
     const BootTime askedAt = BootClock::now();
     m_client.start(std::move(call),
@@ -219,8 +219,8 @@
             return;
         }
     }
-    m_mirror.peerAnswered();
-    if (!m_mirror.isKnown()) {
+    m_mirror.completePeerCall();
+    if (!m_mirror.isLoaded()) {
         // Not at fault, and not of use yet.
         m_choice.referred(present(), upstream, answer.elsewhere);
         pumpMirror();
@@ -259,7 +259,7 @@
 
 void StateSync::failed(const Upstream &upstream, StoreFault fault)
 {
-    m_mirror.failed(present(), fault);
+    m_mirror.callFailed(present(), fault);
     if (fault == StoreFault::HistoryGone) {
         m_choice.succeeded(upstream);
     } else {
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -47,7 +47,7 @@
 
     /** @p self: as it is announced, with the addresses that it listens on. */
     void start(const NodeEntry &self);
-    bool isKnown() const { return m_mirror.isKnown(); }
+    bool isKnown() const { return m_mirror.isLoaded(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
     /** How old the copy may be by @p now, at the most; nothing: not known. */
     std::optional<Duration> copyAge(BootTime now) const { return m_proof.age(now); }
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -54,7 +54,7 @@
     return m_asOf;
 }
 
-void Mirror::listed(const StoredPage &page)
+void Mirror::applyPage(const StoredPage &page)
 {
     completeCall();
     if (m_listCursor.empty()) {
@@ -84,7 +84,7 @@
     m_storeUpdate.asOf = m_asOf;
 }
 
-void Mirror::watched(TimePoint now, const StoredChanges &changes)
+void Mirror::applyWatch(TimePoint now, const StoredChanges &changes)
 {
     completeCall();
     m_storeUpdate.after = m_asOf;
@@ -137,7 +137,7 @@
     return true;
 }
 
-void Mirror::failed(TimePoint now, StoreFault fault)
+void Mirror::callFailed(TimePoint now, StoreFault fault)
 {
     m_isCallInFlight = false;
     if (fault == StoreFault::HistoryGone || fault == StoreFault::Malformed) {
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -61,17 +61,17 @@
      */
     std::uint64_t beginPeerCall();
 
-    void listed(const StoredPage &page);
+    void applyPage(const StoredPage &page);
     /** Applies the result of a watch. */
-    void watched(TimePoint now, const StoredChanges &changes);
+    void applyWatch(TimePoint now, const StoredChanges &changes);
     /** Marks a call to a peer as completed. */
-    void peerAnswered() { completeCall(); }
+    void completePeerCall() { completeCall(); }
     /**
      * Applies an update from a peer.
      * @return false, without any effect, if the update begins after the revision of this copy
      */
     bool applyUpdate(const MirrorUpdate &news);
-    void failed(TimePoint now, StoreFault fault);
+    void callFailed(TimePoint now, StoreFault fault);
     /**
      * Starts a new listing and abandons any call in flight, since changes may have been missed
      * while the process was suspended.
@@ -88,7 +88,7 @@
     /** Returns the number of pages read by the current listing. */
     std::size_t pagesListed() const { return m_pagesListed; }
     /** Returns true once all items are known as of some revision. */
-    bool isKnown() const { return m_asOf > 0; }
+    bool isLoaded() const { return m_asOf > 0; }
     std::uint64_t asOf() const { return m_asOf; }
     /** Returns an update with all items. */
     MirrorUpdate snapshot() const;
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -104,7 +104,7 @@
 
     void start();
     const NodeEntry &entry() const { return m_entry; }
-    bool isKnown() const { return m_mirror.isKnown(); }
+    bool isKnown() const { return m_mirror.isLoaded(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
     /** Whose questions it holds. */
     std::size_t askers() const { return m_askers; }
@@ -241,7 +241,7 @@
         return;
     }
     const bool isLong =
-        !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
     const auto upstream = isLong
         ? m_choice.chooseForFirstCopy(now, m_roster, m_fleet.seeds, m_isSeed)
         : m_choice.choose(now, m_roster, m_fleet.seeds);
@@ -260,9 +260,9 @@
     const std::optional<std::string> after = list ? std::optional(list->after) : std::nullopt;
     m_fleet.time.after(hasNews ? StoreTakes : HeldFor, [this, upstream, after, since] {
         if (after) {
-            m_mirror.listed(m_fleet.store.page(*after));
+            m_mirror.applyPage(m_fleet.store.page(*after));
         } else {
-            m_mirror.watched(m_fleet.time.now(), m_fleet.store.changes(since));
+            m_mirror.applyWatch(m_fleet.time.now(), m_fleet.store.changes(since));
         }
         m_answers.passOnHeard(m_mirror);
         succeeded(upstream);
@@ -329,8 +329,8 @@
         m_answers.passOn({news->after, news->asOf, news->isSnapshot,
                           std::make_shared<const std::string>(block)});
     }
-    m_mirror.peerAnswered();
-    if (!m_mirror.isKnown()) {
+    m_mirror.completePeerCall();
+    if (!m_mirror.isLoaded()) {
         m_choice.referred(m_fleet.time.now(), upstream, answer->elsewhere);
         ask();
         return;
@@ -348,7 +348,7 @@
 
 void CopyingNode::failed(const Upstream &upstream)
 {
-    m_mirror.failed(m_fleet.time.now(), StoreFault::Unanswered);
+    m_mirror.callFailed(m_fleet.time.now(), StoreFault::Unanswered);
     m_choice.failed(m_fleet.time.now(), upstream);
     m_isCurrent = false;
 }
--- a/tests/store/mirrortest.cpp
+++ b/tests/store/mirrortest.cpp
@@ -88,11 +88,11 @@
         CollectingMirror one;
         CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
         CPPUNIT_ASSERT(one.mirror.isBusy(at(0)));
-        one.mirror.listed({{item("p/a", 3), item("p/b", 4)}, true, 10});
+        one.mirror.applyPage({{item("p/a", 3), item("p/b", 4)}, true, 10});
         const MirrorCall next = one.mirror.beginStoreCall();
         CPPUNIT_ASSERT(isListCall(next));
         CPPUNIT_ASSERT_EQUAL(std::string("p/b"), std::get<ListCall>(next).after);
-        one.mirror.listed({{item("p/c", 5)}, false, 12});
+        one.mirror.applyPage({{item("p/c", 5)}, false, 12});
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, one.items.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, watchRevision(one.mirror.beginStoreCall()));
     }
@@ -103,11 +103,11 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.listed({{item("p/a", 3)}, true, 10});
+        one.mirror.applyPage({{item("p/a", 3)}, true, 10});
         one.mirror.beginStoreCall();
-        one.mirror.listed({{item("p/b", 12)}, false, 13});
+        one.mirror.applyPage({{item("p/b", 12)}, false, 13});
         one.mirror.beginStoreCall();
-        one.mirror.watched(at(0), {{{"p/a", 11, std::nullopt}, {"p/b", 12, "v"}}, 13});
+        one.mirror.applyWatch(at(0), {{{"p/a", 11, std::nullopt}, {"p/b", 12, "v"}}, 13});
         CPPUNIT_ASSERT(!one.items.contains("p/a"));
         CPPUNIT_ASSERT(one.items.contains("p/b"));
     }
@@ -118,12 +118,12 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.listed({{item("p/a", 3), item("p/b", 4)}, false, 10});
+        one.mirror.applyPage({{item("p/a", 3), item("p/b", 4)}, false, 10});
         one.mirror.beginStoreCall();
-        one.mirror.failed(at(2), StoreFault::HistoryGone);
+        one.mirror.callFailed(at(2), StoreFault::HistoryGone);
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(2)));
         CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
-        one.mirror.listed({{item("p/b", 4)}, false, 30});
+        one.mirror.applyPage({{item("p/b", 4)}, false, 30});
         CPPUNIT_ASSERT(!one.items.contains("p/a"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {30}, watchRevision(one.mirror.beginStoreCall()));
     }
@@ -133,10 +133,10 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.listed({{item("p/a", 3, "old")}, false, 10});
+        one.mirror.applyPage({{item("p/a", 3, "old")}, false, 10});
         one.mirror.beginPeerCall();
         one.mirror.applyUpdate(whole(20, {{"p/a", 18, "new"}}));
-        one.mirror.watched(at(0), {{{"p/a", 12, "between"}}, 12});
+        one.mirror.applyWatch(at(0), {{{"p/a", 12, "between"}}, 12});
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
         one.mirror.applyUpdate(whole(15, {{"p/a", 12, "between"}}));
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
@@ -148,11 +148,11 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.failed(at(1), StoreFault::Refused);
-        CPPUNIT_ASSERT(!one.mirror.isKnown());
+        one.mirror.callFailed(at(1), StoreFault::Refused);
+        CPPUNIT_ASSERT(!one.mirror.isLoaded());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {0}, one.mirror.beginPeerCall());
         one.mirror.applyUpdate(whole(20, {{"p/a", 18, "v"}}));
-        CPPUNIT_ASSERT(one.mirror.isKnown());
+        CPPUNIT_ASSERT(one.mirror.isLoaded());
         CPPUNIT_ASSERT(one.items.contains("p/a"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
     }
@@ -162,17 +162,17 @@
     {
         CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/a", 3), item("p/b", 4)}, false, 10});
+        watcher.mirror.applyPage({{item("p/a", 3), item("p/b", 4)}, false, 10});
         CPPUNIT_ASSERT(!watcher.mirror.takeStoreUpdate().has_value());
         CollectingMirror follower;
         follower.mirror.beginPeerCall();
         CPPUNIT_ASSERT(follower.mirror.applyUpdate(watcher.mirror.snapshot()));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, follower.items.size());
-        watcher.mirror.watched(at(0), {{{"p/a", 11, std::nullopt}, {"p/c", 12, "v"}}, 12});
+        watcher.mirror.applyWatch(at(0), {{{"p/a", 11, std::nullopt}, {"p/c", 12, "v"}}, 12});
         forwardUpdate(watcher, follower);
-        watcher.mirror.failed(at(1), StoreFault::HistoryGone);
+        watcher.mirror.callFailed(at(1), StoreFault::HistoryGone);
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/c", 12)}, false, 40});
+        watcher.mirror.applyPage({{item("p/c", 12)}, false, 40});
         forwardUpdate(watcher, follower);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {40}, follower.mirror.asOf());
     }
@@ -182,17 +182,17 @@
     {
         CollectingMirror watcher;
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/a", 3), item("p/b", 4), item("p/c", 5)}, false, 10});
+        watcher.mirror.applyPage({{item("p/a", 3), item("p/b", 4), item("p/c", 5)}, false, 10});
         watcher.mirror.takeStoreUpdate();
         CollectingMirror follower;
         CPPUNIT_ASSERT(follower.mirror.applyUpdate(watcher.mirror.snapshot()));
         watcher.mirror.beginStoreCall();
-        watcher.mirror.failed(at(1), StoreFault::HistoryGone);
+        watcher.mirror.callFailed(at(1), StoreFault::HistoryGone);
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/a", 20, "new")}, true, 30});
+        watcher.mirror.applyPage({{item("p/a", 20, "new")}, true, 30});
         CPPUNIT_ASSERT(!watcher.mirror.takeStoreUpdate().has_value());
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/c", 21, "new")}, false, 31});
+        watcher.mirror.applyPage({{item("p/c", 21, "new")}, false, 31});
         forwardUpdate(watcher, follower);
         CPPUNIT_ASSERT_EQUAL(std::string("new"), follower.items["p/a"]);
         CPPUNIT_ASSERT(!follower.items.contains("p/b"));
@@ -205,15 +205,15 @@
         watcher.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
         watcher.mirror.refresh();
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/b", 12)}, true, 12});
+        watcher.mirror.applyPage({{item("p/b", 12)}, true, 12});
         watcher.mirror.applyUpdate({10, 14, false, {{"p/b", 12, "v"}, {"p/b", 14, std::nullopt}}});
         CollectingMirror follower;
         follower.mirror.applyUpdate(watcher.mirror.snapshot());
         watcher.mirror.beginStoreCall();
-        watcher.mirror.listed({{item("p/c", 15)}, false, 16});
+        watcher.mirror.applyPage({{item("p/c", 15)}, false, 16});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {14}, watcher.mirror.asOf());
         watcher.mirror.beginStoreCall();
-        watcher.mirror.watched(at(0), {{{"p/c", 15, "v"}}, 16});
+        watcher.mirror.applyWatch(at(0), {{{"p/c", 15, "v"}}, 16});
         forwardUpdate(watcher, follower);
         CPPUNIT_ASSERT(!follower.items.contains("p/b"));
     }
@@ -246,14 +246,14 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.listed({{item("p/a", 3)}, false, 10});
+        one.mirror.applyPage({{item("p/a", 3)}, false, 10});
         one.mirror.beginStoreCall();
         const std::uint64_t before = one.mirror.generation();
         one.mirror.refresh();
         CPPUNIT_ASSERT(before != one.mirror.generation());
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(2)));
         CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
-        one.mirror.listed({{}, false, 11});
+        one.mirror.applyPage({{}, false, 11});
         CPPUNIT_ASSERT(one.items.empty());
     }
 
@@ -265,7 +265,7 @@
             if (!one.mirror.isBusy(at(time))) {
                 ++calls;
                 one.mirror.beginStoreCall();
-                one.mirror.failed(at(time), StoreFault::Unanswered);
+                one.mirror.callFailed(at(time), StoreFault::Unanswered);
             }
         }
         CPPUNIT_ASSERT(calls > 15);
@@ -284,14 +284,14 @@
             if (!one.mirror.isBusy(at(time))) {
                 ++calls;
                 one.mirror.beginStoreCall();
-                one.mirror.watched(at(time), {{{"p/a", revision, "v"}}, revision});
+                one.mirror.applyWatch(at(time), {{{"p/a", revision, "v"}}, revision});
             }
         }
         CPPUNIT_ASSERT(calls <= 51);
         // After a watch without changes the next one starts at once, so that a change is not
         // delayed.
         one.mirror.beginStoreCall();
-        one.mirror.watched(at(20'000), {{}, revision});
+        one.mirror.applyWatch(at(20'000), {{}, revision});
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(20'000)));
     }
 
--- a/tests/store/updatelogtest.cpp
+++ b/tests/store/updatelogtest.cpp
@@ -174,7 +174,7 @@
             Mirror watcher({}, [](const std::string &, const StoredItem *, std::uint64_t) {});
             Mirror follower({}, [](const std::string &, const StoredItem *, std::uint64_t) {});
             CountingLog updateLog;
-            watcher.listed({{{"first", "v", 1, 1}}, false, 1});
+            watcher.applyPage({{{"first", "v", 1, 1}}, false, 1});
             updateLog.log.startAt(1);
             follower.applyUpdate(watcher.snapshot());
             std::size_t bytes = 0;
@@ -184,7 +184,7 @@
                     changes.changes.push_back({"s" + std::to_string(i), i, "value", i});
                 }
                 changes.asOf = revision + 49;
-                watcher.watched(at(0), changes);
+                watcher.applyWatch(at(0), changes);
                 updateLog.log.add(encodeUpdate(*watcher.takeStoreUpdate()));
                 if ((revision / 50) % 10 == 0) { // The follower is slow.
                     for (const EncodedUpdate &one : updateLog.since(follower.asOf())) {
