--- a/src/edge/newsanswers.cpp
+++ b/src/edge/newsanswers.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-NewsAnswers::NewsAnswers(const Mirror &mirror, const CopyProof &proof, double linkBytesPerSecond,
-                         Duration heldFor)
+NewsAnswers::NewsAnswers(const Mirror &mirror, const StalenessBound &proof,
+                         double linkBytesPerSecond, Duration heldFor)
     : m_mirror(mirror)
     , m_proof(proof)
     , m_heldFor(heldFor)
--- a/src/edge/newsanswers.h
+++ b/src/edge/newsanswers.h
@@ -2,9 +2,9 @@
 
 #include "edge/mirrorexchange.h"
 #include "http/httpserver.h"
-#include "store/copyproof.h"
 #include "store/copyturns.h"
 #include "store/mirror.h"
+#include "store/stalenessbound.h"
 #include "store/updatelog.h"
 
 #include <cstdint>
@@ -28,7 +28,7 @@
     };
 
     /** @p heldFor: how long a question is held until there is something new. */
-    NewsAnswers(const Mirror &mirror, const CopyProof &proof, double linkBytesPerSecond,
+    NewsAnswers(const Mirror &mirror, const StalenessBound &proof, double linkBytesPerSecond,
                 Duration heldFor);
 
     /** The node at @p control asks for what came after @p revision. */
@@ -57,7 +57,7 @@
     void noteFollower(const std::string &control);
 
     const Mirror &m_mirror;
-    const CopyProof &m_proof;
+    const StalenessBound &m_proof;
     Duration m_heldFor;
     UpdateLog m_news;
     CopyTurns m_copyTurns;
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -159,7 +159,7 @@
                          m_mirror.applyPage(std::get<StoredPage>(result));
                          m_answers.passOnHeard(m_mirror);
                          if (!m_mirror.isListing()) {
-                             m_proof.answered(m_listAskedAt, m_mirror.asOf(), m_mirror.asOf());
+                             m_proof.revisionRead(m_listAskedAt, m_mirror.asOf(), m_mirror.asOf());
                          }
                          succeeded(upstream);
                      });
@@ -227,7 +227,7 @@
         return;
     }
     if (answer.age) {
-        m_proof.told(askedAt, BootClock::now(), answer.held, *answer.age);
+        m_proof.peerAnswered(askedAt, BootClock::now(), answer.held, *answer.age);
     }
     succeeded(upstream);
 }
@@ -246,7 +246,7 @@
 void StateSync::succeeded(const Upstream &upstream)
 {
     m_choice.succeeded(upstream);
-    m_proof.copied(m_mirror.asOf());
+    m_proof.copyAdvanced(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
         m_records.storeIsBack(present());
@@ -291,7 +291,7 @@
                  [this, usualPause, askedAt = BootClock::now()](const auto &result) {
                      m_isProving = false;
                      if (const auto *page = std::get_if<StoredPage>(&result)) {
-                         m_proof.answered(askedAt, page->asOf, m_mirror.asOf());
+                         m_proof.revisionRead(askedAt, page->asOf, m_mirror.asOf());
                          m_proofWantedAt = present() + usualPause;
                      } else {
                          m_proofWantedAt = present() + std::min(ProveAgainAfter, usualPause);
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -6,8 +6,8 @@
 #include "http/eventbase.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
-#include "store/copyproof.h"
 #include "store/mirror.h"
+#include "store/stalenessbound.h"
 
 #include <functional>
 #include <string>
@@ -87,7 +87,7 @@
     Wiring m_wiring;
     EventHandle m_timer;
     Mirror m_mirror;
-    CopyProof m_proof;
+    StalenessBound m_proof;
     NewsAnswers m_answers;
     TimePoint m_proofWantedAt {};
     bool m_isProving = false;  ///< The store is being asked.
--- a/src/store/copyproof.cpp
+++ b/src/store/stalenessbound.cpp
@@ -1,10 +1,10 @@
-#include "copyproof.h"
+#include "stalenessbound.h"
 
 #include <algorithm>
 
 namespace indigoway {
 
-void CopyProof::answered(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf)
+void StalenessBound::revisionRead(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf)
 {
     if (copyAsOf >= revision) {
         advanceTo(askedAt);
@@ -15,7 +15,7 @@
     }
 }
 
-void CopyProof::copied(std::uint64_t copyAsOf)
+void StalenessBound::copyAdvanced(std::uint64_t copyAsOf)
 {
     if (m_pending && copyAsOf >= m_pending->revision) {
         advanceTo(m_pending->askedAt);
@@ -23,18 +23,18 @@
     }
 }
 
-void CopyProof::told(BootTime askedAt, BootTime now, Duration held, Duration age)
+void StalenessBound::peerAnswered(BootTime askedAt, BootTime now, Duration held, Duration age)
 {
     const Duration boundedHeld = std::clamp(held, Duration(0), Duration(now - askedAt));
     advanceTo(askedAt + boundedHeld - std::max(age, Duration(0)));
 }
 
-std::optional<Duration> CopyProof::age(BootTime now) const
+std::optional<Duration> StalenessBound::age(BootTime now) const
 {
     return m_freshAt ? std::optional(Duration(now - *m_freshAt)) : std::nullopt;
 }
 
-void CopyProof::advanceTo(BootTime at)
+void StalenessBound::advanceTo(BootTime at)
 {
     m_freshAt = m_freshAt ? std::max(*m_freshAt, at) : at;
 }
--- a/src/store/copyproof.h
+++ b/src/store/stalenessbound.h
@@ -16,7 +16,7 @@
  * answers that are read late because the process was suspended. Nodes pass the staleness on to each
  * other and add the time in transit.
  */
-class CopyProof
+class StalenessBound
 {
 public:
     /**
@@ -25,9 +25,9 @@
      * @param revision the store's revision
      * @param copyAsOf the revision of the local copy
      */
-    void answered(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf);
+    void revisionRead(BootTime askedAt, std::uint64_t revision, std::uint64_t copyAsOf);
     /** Handles an advance of the local copy to revision @p copyAsOf. */
-    void copied(std::uint64_t copyAsOf);
+    void copyAdvanced(std::uint64_t copyAsOf);
     /**
      * Handles the answer of a peer whose changes have been applied to the local copy.
      * @param askedAt the time when the request was sent
@@ -35,7 +35,7 @@
      * @param held the time for which the peer held the request
      * @param age the staleness of the peer's copy when it answered
      */
-    void told(BootTime askedAt, BootTime now, Duration held, Duration age);
+    void peerAnswered(BootTime askedAt, BootTime now, Duration held, Duration age);
     /** Returns the staleness of the local copy; nothing if it is unknown. */
     std::optional<Duration> age(BootTime now) const;
 
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -128,7 +128,7 @@
     bool m_isSeed;
     NodeRoster m_roster;
     Mirror m_mirror;
-    CopyProof m_proof;
+    StalenessBound m_proof;
     NewsAnswers m_answers;
     UpstreamChoice m_choice;
     bool m_isAlive = true;
--- a/tests/store/copyprooftest.cpp
+++ b/tests/store/stalenessboundtest.cpp
@@ -1,4 +1,4 @@
-#include "store/copyproof.h"
+#include "store/stalenessbound.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -18,9 +18,9 @@
 
 } // namespace
 
-class CopyProofTest : public CppUnit::TestFixture
+class StalenessBoundTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(CopyProofTest);
+    CPPUNIT_TEST_SUITE(StalenessBoundTest);
     CPPUNIT_TEST(ageCountsFromTheRequest);
     CPPUNIT_TEST(ageGrowsUntilCopyCatchesUp);
     CPPUNIT_TEST(lateAnswerIsStale);
@@ -32,48 +32,48 @@
 public:
     void ageCountsFromTheRequest()
     {
-        CopyProof proof;
+        StalenessBound proof;
         CPPUNIT_ASSERT(!proof.age(at(0)));
-        proof.answered(at(0), 7, 7);
+        proof.revisionRead(at(0), 7, 7);
         CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
-        proof.answered(at(-20), 7, 9); // An earlier request that is answered later.
+        proof.revisionRead(at(-20), 7, 9); // An earlier request that is answered later.
         CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
     }
 
     // Guards against a copy that counts as fresh before it has reached the store's revision.
     void ageGrowsUntilCopyCatchesUp()
     {
-        CopyProof proof;
-        proof.answered(at(0), 7, 7);
-        proof.answered(at(1000), 8, 7);
+        StalenessBound proof;
+        proof.revisionRead(at(0), 7, 7);
+        proof.revisionRead(at(1000), 8, 7);
         CPPUNIT_ASSERT(proof.age(at(1010)) == Duration(1010ms));
-        proof.answered(at(2000), 9, 7);
-        proof.copied(8);
+        proof.revisionRead(at(2000), 9, 7);
+        proof.copyAdvanced(8);
         CPPUNIT_ASSERT(proof.age(at(2010)) == Duration(1010ms));
     }
 
     // Guards against an answer that counts as fresh although it was read late after a suspension.
     void lateAnswerIsStale()
     {
-        CopyProof proof;
-        proof.answered(at(0), 7, 7);
+        StalenessBound proof;
+        proof.revisionRead(at(0), 7, 7);
         CPPUNIT_ASSERT(proof.age(at(8000)) == Duration(8s));
     }
 
     void agesAddUpAlongChain()
     {
-        CopyProof proof;
+        StalenessBound proof;
         // Sent at 0, held for 0.8 s, then 1.5 s stale: the store's state at -0.7 s.
-        proof.told(at(0), at(803), 800ms, 1500ms);
+        proof.peerAnswered(at(0), at(803), 800ms, 1500ms);
         CPPUNIT_ASSERT(proof.age(at(1000)) == Duration(1700ms));
     }
 
     void boundsHoldTimeOfPeer()
     {
-        CopyProof proof;
-        proof.told(at(0), at(100), 5s, 0ms);
+        StalenessBound proof;
+        proof.peerAnswered(at(0), at(100), 5s, 0ms);
         CPPUNIT_ASSERT(proof.age(at(100)) == Duration(0ms));
-        proof.told(at(0), at(100), -5s, -5s);
+        proof.peerAnswered(at(0), at(100), -5s, -5s);
         CPPUNIT_ASSERT(proof.age(at(100)) == Duration(0ms));
     }
 
@@ -83,7 +83,7 @@
     {
         const bool isTrue = rc::check([] {
             constexpr std::size_t Nodes = 4;
-            std::vector<CopyProof> proofs(Nodes);
+            std::vector<StalenessBound> proofs(Nodes);
             std::vector<std::uint64_t> copies(Nodes, 0);
             std::vector<std::int64_t> changedAt {0}; // Indexed by revision.
             std::int64_t now = 0;
@@ -113,10 +113,10 @@
                     advanceTime();
                     const std::uint64_t revision = changedAt.size() - 1;
                     advanceTime();
-                    proofs[0].answered(askedAt, revision, copies[0]);
+                    proofs[0].revisionRead(askedAt, revision, copies[0]);
                     copies[0] =
                         std::max(copies[0], *rc::gen::inRange<std::uint64_t>(0, changedAt.size()));
-                    proofs[0].copied(copies[0]);
+                    proofs[0].copyAdvanced(copies[0]);
                     break;
                 }
                 default: { // A node requests updates from the previous one.
@@ -133,7 +133,7 @@
                     advanceTime();
                     copies[node] = std::max(copies[node], copy);
                     if (age) {
-                        proofs[node].told(askedAt, at(now), held, *age);
+                        proofs[node].peerAnswered(askedAt, at(now), held, *age);
                     }
                     break;
                 }
@@ -145,4 +145,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CopyProofTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StalenessBoundTest);
