--- a/src/edge/newsanswers.cpp
+++ b/src/edge/newsanswers.cpp
@@ -62,7 +62,7 @@
 {
     MirrorAnswer answer;
     answer.held = bootNow - question.arrived;
-    if (m_news.needsSnapshot(question.revision) && !m_copyTurns.mayBegin(now)) {
+    if (m_news.needsSnapshot(question.revision) && !m_copyTurns.mayStart(now)) {
         answer.elsewhere = {m_followers.begin(), m_followers.end()};
         return encodeAnswer(answer);
     }
@@ -71,7 +71,7 @@
     for (const EncodedUpdate &block : blocks) {
         answer.blocks.push_back(*block.bytes);
         if (block.isSnapshot) {
-            m_copyTurns.begin(now, block.bytes->size());
+            m_copyTurns.start(now, block.bytes->size());
         }
     }
     if (blocks.empty() || blocks.back().asOf == m_mirror.asOf()) {
--- a/src/edge/newsanswers.h
+++ b/src/edge/newsanswers.h
@@ -2,8 +2,8 @@
 
 #include "edge/mirrorexchange.h"
 #include "http/httpserver.h"
-#include "store/copyturns.h"
 #include "store/mirror.h"
+#include "store/snapshotthrottle.h"
 #include "store/stalenessbound.h"
 #include "store/updatelog.h"
 
@@ -60,7 +60,7 @@
     const StalenessBound &m_proof;
     Duration m_heldFor;
     UpdateLog m_news;
-    CopyTurns m_copyTurns;
+    SnapshotThrottle m_copyTurns;
     std::map<ExchangeNumber, Question> m_questions;
     std::deque<std::string> m_followers; ///< Their control addresses, the latest last.
 };
--- a/src/store/copyturns.cpp
+++ b/src/store/snapshotthrottle.cpp
@@ -1,4 +1,4 @@
-#include "copyturns.h"
+#include "snapshotthrottle.h"
 
 #include <algorithm>
 
@@ -13,16 +13,16 @@
 
 } // namespace
 
-CopyTurns::CopyTurns(double linkBytesPerSecond)
+SnapshotThrottle::SnapshotThrottle(double linkBytesPerSecond)
     : m_bytesPerSecond(linkBytesPerSecond * SnapshotBandwidthFraction)
 { }
 
-bool CopyTurns::mayBegin(TimePoint now) const
+bool SnapshotThrottle::mayStart(TimePoint now) const
 {
     return m_busyUntil < now + MaxBacklog;
 }
 
-void CopyTurns::begin(TimePoint now, std::size_t bytes)
+void SnapshotThrottle::start(TimePoint now, std::size_t bytes)
 {
     const std::chrono::duration<double> sendTime(static_cast<double>(bytes) / m_bytesPerSecond);
     m_busyUntil = std::max(m_busyUntil, now) + std::chrono::duration_cast<Duration>(sendTime);
--- a/src/store/copyturns.h
+++ b/src/store/snapshotthrottle.h
@@ -11,15 +11,15 @@
  * in a short time. Without the limit, a node with many followers would hold all snapshots in memory
  * and send each one so slowly that the receivers time out and retry.
  */
-class CopyTurns
+class SnapshotThrottle
 {
 public:
     /** @param linkBytesPerSecond the network bandwidth of this node's VM */
-    explicit CopyTurns(double linkBytesPerSecond);
+    explicit SnapshotThrottle(double linkBytesPerSecond);
 
     /** Returns true if another snapshot would arrive in time. */
-    bool mayBegin(TimePoint now) const;
-    void begin(TimePoint now, std::size_t bytes);
+    bool mayStart(TimePoint now) const;
+    void start(TimePoint now, std::size_t bytes);
 
 private:
     double m_bytesPerSecond;
--- a/tests/store/updatelogtest.cpp
+++ b/tests/store/updatelogtest.cpp
@@ -1,8 +1,8 @@
 #include "store/updatelog.h"
 
 #include "edge/mirrorexchange.h"
-#include "store/copyturns.h"
 #include "store/mirror.h"
+#include "store/snapshotthrottle.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -208,17 +208,17 @@
     {
         constexpr double BytesPerSecond = 2'500'000;
         constexpr std::size_t SnapshotBytes = 400'000;
-        CopyTurns turns(BytesPerSecond);
+        SnapshotThrottle turns(BytesPerSecond);
         int started = 0;
         for (int i = 0; i < 200; ++i) {
-            if (turns.mayBegin(at(0))) {
-                turns.begin(at(0), SnapshotBytes);
+            if (turns.mayStart(at(0))) {
+                turns.start(at(0), SnapshotBytes);
                 ++started;
             }
         }
         CPPUNIT_ASSERT(started >= 3);
         CPPUNIT_ASSERT(started <= 4);
-        CPPUNIT_ASSERT(turns.mayBegin(at(500)));
+        CPPUNIT_ASSERT(turns.mayStart(at(500)));
     }
 };
 
