--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -152,7 +152,7 @@
                          if (generation != m_mirror.generation()) {
                              return;
                          }
-                         if (const auto *fault = std::get_if<StoreFault>(&result)) {
+                         if (const auto *fault = std::get_if<StoreError>(&result)) {
                              failed(upstream, *fault);
                              return;
                          }
@@ -172,7 +172,7 @@
                       if (generation != m_mirror.generation()) {
                           return;
                       }
-                      if (const auto *fault = std::get_if<StoreFault>(&result)) {
+                      if (const auto *fault = std::get_if<StoreError>(&result)) {
                           failed(upstream, *fault);
                           return;
                       }
@@ -199,12 +199,12 @@
                        }
                        constexpr int Ok = 200;
                        if (answer.end != HttpAnswer::End::Complete || answer.status != Ok) {
-                           failed(upstream, StoreFault::Unanswered);
+                           failed(upstream, StoreError::Unanswered);
                            return;
                        }
                        const auto told = decodeAnswer(answer.body);
                        if (!told) {
-                           failed(upstream, StoreFault::Refused);
+                           failed(upstream, StoreError::Refused);
                            return;
                        }
                        peerAnswered(upstream, askedAt, *told);
@@ -215,7 +215,7 @@
 {
     for (const std::string &block : answer.blocks) {
         if (!takeBlock(block)) {
-            failed(upstream, StoreFault::Refused);
+            failed(upstream, StoreError::Refused);
             return;
         }
     }
@@ -257,10 +257,10 @@
     pumpMirror();
 }
 
-void StateSync::failed(const Upstream &upstream, StoreFault fault)
+void StateSync::failed(const Upstream &upstream, StoreError fault)
 {
     m_mirror.callFailed(present(), fault);
-    if (fault == StoreFault::HistoryGone) {
+    if (fault == StoreError::HistoryGone) {
         m_choice.succeeded(upstream);
     } else {
         m_choice.failed(present(), upstream);
@@ -295,7 +295,7 @@
                          m_proofWantedAt = present() + usualPause;
                      } else {
                          m_proofWantedAt = present() + std::min(ProveAgainAfter, usualPause);
-                         m_wiring.record("copy_not_proven", nameOf(std::get<StoreFault>(result)));
+                         m_wiring.record("copy_not_proven", nameOf(std::get<StoreError>(result)));
                      }
                  });
 }
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -74,7 +74,7 @@
     /** Takes in a block of news; false if it cannot be read. */
     bool takeBlock(const std::string &bytes);
     void succeeded(const Upstream &upstream);
-    void failed(const Upstream &upstream, StoreFault fault);
+    void failed(const Upstream &upstream, StoreError fault);
     void pumpProof();
     void pumpRecords();
     Duration questionWait() const;
--- a/src/edge/storerecords.cpp
+++ b/src/edge/storerecords.cpp
@@ -61,8 +61,8 @@
         return;
     }
     ++m_calls.leases;
-    m_store.endLease(lease, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.revokeLease(lease, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_wiring.record("entry_not_ended", nameOf(*fault));
         }
     });
@@ -84,7 +84,7 @@
     if (const auto *grant = std::get_if<GrantLeaseCall>(&*call)) {
         ++m_calls.leases;
         m_store.grantLease(grant->lifetime, [this](const auto &result) {
-            if (const auto *fault = std::get_if<StoreFault>(&result)) {
+            if (const auto *fault = std::get_if<StoreError>(&result)) {
                 m_announcer.failed(present(), *fault);
             } else {
                 m_announcer.leaseGranted(present(), std::get<GrantedLease>(result));
@@ -112,9 +112,9 @@
     }
 }
 
-bool StoreRecords::noteAnnouncement(const std::variant<StoreDone, StoreFault> &result)
+bool StoreRecords::noteAnnouncement(const std::variant<StoreDone, StoreError> &result)
 {
-    const auto *fault = std::get_if<StoreFault>(&result);
+    const auto *fault = std::get_if<StoreError>(&result);
     if (!fault) {
         return true;
     }
@@ -135,8 +135,8 @@
     commit.writes.push_back({m_wiring.leaderKey, m_leadership.life(), m_announcer.lease()});
     // Whether it was done shows in the copy of the store, also where the answer is lost.
     ++m_calls.writes;
-    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_wiring.record("order_right_not_taken", nameOf(*fault));
         }
     });
@@ -152,8 +152,8 @@
     commit.conditions.push_back({m_wiring.recordKey, 0});
     commit.writes.push_back({m_wiring.recordKey, m_leadership.life(), StoreLease()});
     ++m_calls.writes;
-    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_wiring.record("orders_not_prepared", nameOf(*fault));
         }
     });
@@ -171,7 +171,7 @@
     }
     ++m_calls.leases;
     m_store.grantLease(CrashPublisher::LeaseLifetime, [this](const auto &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             notesFailed(*fault);
         } else {
             m_publisher.leaseGranted(present(), std::get<GrantedLease>(result).lease);
@@ -189,7 +189,7 @@
     }
     ++m_calls.writes;
     m_store.commit(commit, [this](const auto &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             notesFailed(*fault);
         } else {
             m_publisher.written(present());
@@ -198,7 +198,7 @@
     });
 }
 
-void StoreRecords::notesFailed(StoreFault fault)
+void StoreRecords::notesFailed(StoreError fault)
 {
     m_publisher.failed(present(), fault);
     m_wiring.record("crash_not_shared",
--- a/src/edge/storerecords.h
+++ b/src/edge/storerecords.h
@@ -65,11 +65,11 @@
 
 private:
     void pumpAnnouncer();
-    bool noteAnnouncement(const std::variant<StoreDone, StoreFault> &result);
+    bool noteAnnouncement(const std::variant<StoreDone, StoreError> &result);
     void pumpLeadership();
     void pumpPublisher();
     void writeNotes(const WriteNotesCall &call);
-    void notesFailed(StoreFault fault);
+    void notesFailed(StoreError fault);
 
     KeyValueStore &m_store;
     StoreCalls &m_calls;
--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -83,13 +83,13 @@
                   m_queue.begin() + static_cast<std::ptrdiff_t>(std::exchange(m_inFlightCount, 0)));
 }
 
-void CrashPublisher::failed(TimePoint now, StoreFault fault)
+void CrashPublisher::failed(TimePoint now, StoreError fault)
 {
     m_isCallInFlight = false;
     m_inFlightCount = 0;
     m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
     ++m_failures;
-    if (fault == StoreFault::NoLease) {
+    if (fault == StoreError::NoLease) {
         m_lease = {};
         m_nextCallAt = now;
     }
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -54,7 +54,7 @@
     std::optional<PublisherCall> nextCall(TimePoint now);
     void leaseGranted(TimePoint now, StoreLease lease);
     void written(TimePoint now);
-    void failed(TimePoint now, StoreFault fault);
+    void failed(TimePoint now, StoreError fault);
     /** Makes failed calls due at once when the store has become reachable again. */
     void storeIsBack(TimePoint now);
     std::size_t waiting() const { return m_queue.size(); }
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -50,7 +50,7 @@
     void leaseGranted(TimePoint now, const GrantedLease &granted);
     void entryWritten(TimePoint now);
     void leaseRenewed(TimePoint now);
-    void failed(TimePoint now, StoreFault fault);
+    void failed(TimePoint now, StoreError fault);
     /** Makes a failed call due at once when this or another node has reached the store again. */
     void storeIsBack(TimePoint now);
     /** Handles the removal of the entry while this node has not revoked its lease. */
--- a/src/store/keyvaluestore.cpp
+++ b/src/store/keyvaluestore.cpp
@@ -2,20 +2,20 @@
 
 namespace indigoway {
 
-const char *nameOf(StoreFault fault)
+const char *nameOf(StoreError fault)
 {
     switch (fault) {
-    case StoreFault::Unanswered:
+    case StoreError::Unanswered:
         return "unanswered";
-    case StoreFault::Refused:
+    case StoreError::Refused:
         return "refused";
-    case StoreFault::HistoryGone:
+    case StoreError::HistoryGone:
         return "history_gone";
-    case StoreFault::NoLease:
+    case StoreError::NoLease:
         return "no_lease";
-    case StoreFault::Conflict:
+    case StoreError::Conflict:
         return "conflict";
-    case StoreFault::Malformed:
+    case StoreError::Malformed:
         return "malformed";
     }
     return "";
--- a/src/store/keyvaluestore.h
+++ b/src/store/keyvaluestore.h
@@ -57,7 +57,7 @@
     Duration lifetime {};
 };
 
-enum class StoreFault {
+enum class StoreError {
     /** Timeout or connection failure; the call may have taken effect or still take effect. */
     Unanswered,
     Refused,     ///< The store is overloaded; the call had no effect.
@@ -67,10 +67,10 @@
     Malformed,   ///< The answer cannot be parsed.
 };
 
-const char *nameOf(StoreFault fault);
+const char *nameOf(StoreError fault);
 
 template <typename Result>
-using StoreHandler = std::function<void(const std::variant<Result, StoreFault> &)>;
+using StoreHandler = std::function<void(const std::variant<Result, StoreError> &)>;
 
 struct StoreDone
 {
@@ -114,7 +114,7 @@
     virtual void commit(const StoreCommit &commit, StoreHandler<StoreDone> handler) = 0;
     virtual void grantLease(Duration lifetime, StoreHandler<GrantedLease> handler) = 0;
     virtual void renewLease(StoreLease lease, StoreHandler<StoreDone> handler) = 0;
-    virtual void endLease(StoreLease lease, StoreHandler<StoreDone> handler) = 0;
+    virtual void revokeLease(StoreLease lease, StoreHandler<StoreDone> handler) = 0;
 };
 
 } // namespace indigoway
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -137,14 +137,14 @@
     return true;
 }
 
-void Mirror::callFailed(TimePoint now, StoreFault fault)
+void Mirror::callFailed(TimePoint now, StoreError fault)
 {
     m_isCallInFlight = false;
-    if (fault == StoreFault::HistoryGone || fault == StoreFault::Malformed) {
+    if (fault == StoreError::HistoryGone || fault == StoreError::Malformed) {
         m_needsListing = true;
         m_listCursor.clear();
     }
-    if (fault == StoreFault::HistoryGone) {
+    if (fault == StoreError::HistoryGone) {
         return; // The store is reachable, so the listing starts without delay.
     }
     const std::uint32_t doublings = std::min(m_failures, MaxRetryDoublings);
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -71,7 +71,7 @@
      * @return false, without any effect, if the update begins after the revision of this copy
      */
     bool applyUpdate(const MirrorUpdate &news);
-    void callFailed(TimePoint now, StoreFault fault);
+    void callFailed(TimePoint now, StoreError fault);
     /**
      * Starts a new listing and abandons any call in flight, since changes may have been missed
      * while the process was suspended.
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -348,7 +348,7 @@
 
 void CopyingNode::failed(const Upstream &upstream)
 {
-    m_mirror.callFailed(m_fleet.time.now(), StoreFault::Unanswered);
+    m_mirror.callFailed(m_fleet.time.now(), StoreError::Unanswered);
     m_choice.failed(m_fleet.time.now(), upstream);
     m_isCurrent = false;
 }
--- a/tests/fleet/crashpublishertest.cpp
+++ b/tests/fleet/crashpublishertest.cpp
@@ -74,7 +74,7 @@
         for (int time = 0; time < 20'000; time += 50) {
             if (publisher.nextCall(at(time))) {
                 ++calls;
-                publisher.failed(at(time), StoreFault::Unanswered);
+                publisher.failed(at(time), StoreError::Unanswered);
             }
         }
         CPPUNIT_ASSERT(calls >= 5);
@@ -83,7 +83,7 @@
         CPPUNIT_ASSERT(publisher.nextCall(at(20'000)));
         publisher.leaseGranted(at(20'004), StoreLease(7));
         publisher.nextCall(at(20'004));
-        publisher.failed(at(20'008), StoreFault::NoLease);
+        publisher.failed(at(20'008), StoreError::NoLease);
         CPPUNIT_ASSERT(std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(20'008))));
     }
 
@@ -95,7 +95,7 @@
         publisher.add(note("a", 1));
         publisher.add(note("b", 1));
         publisher.nextCall(at(0));
-        publisher.failed(at(1), StoreFault::Unanswered);
+        publisher.failed(at(1), StoreError::Unanswered);
         publisher.add(note("a", 0));
         publisher.nextCall(at(1'000));
         publisher.leaseGranted(at(1'005), StoreLease(7));
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/noderostertest.cpp
@@ -151,7 +151,7 @@
         announcer.entryWritten(at(2));
         CPPUNIT_ASSERT(!announcer.nextCall(at(3)).has_value());
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(1'000))));
-        announcer.failed(at(1'001), StoreFault::NoLease);
+        announcer.failed(at(1'001), StoreError::NoLease);
         CPPUNIT_ASSERT(std::holds_alternative<GrantLeaseCall>(*announcer.nextCall(at(1'001))));
         announcer.leaseGranted(at(1'002), lease(6));
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'002))));
@@ -174,7 +174,7 @@
         for (; time < 9'000; time += 10) {
             if (announcer.nextCall(at(time))) {
                 ++calls;
-                announcer.failed(at(time), StoreFault::Refused);
+                announcer.failed(at(time), StoreError::Refused);
             }
         }
         CPPUNIT_ASSERT(calls >= 4);
@@ -208,7 +208,7 @@
         CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime
                        == NodeAnnouncer::LeastLifetime * 4);
         // After a failed grant the existing lease must still be renewed in time.
-        announcer.failed(at(1'801), StoreFault::Refused);
+        announcer.failed(at(1'801), StoreError::Refused);
         announcer.setWanted(NodeAnnouncer::LeastLifetime);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(2'100))));
         announcer.leaseRenewed(at(2'101));
--- a/tests/store/mirrortest.cpp
+++ b/tests/store/mirrortest.cpp
@@ -120,7 +120,7 @@
         one.mirror.beginStoreCall();
         one.mirror.applyPage({{item("p/a", 3), item("p/b", 4)}, false, 10});
         one.mirror.beginStoreCall();
-        one.mirror.callFailed(at(2), StoreFault::HistoryGone);
+        one.mirror.callFailed(at(2), StoreError::HistoryGone);
         CPPUNIT_ASSERT(!one.mirror.isBusy(at(2)));
         CPPUNIT_ASSERT(isListCall(one.mirror.beginStoreCall()));
         one.mirror.applyPage({{item("p/b", 4)}, false, 30});
@@ -148,7 +148,7 @@
     {
         CollectingMirror one;
         one.mirror.beginStoreCall();
-        one.mirror.callFailed(at(1), StoreFault::Refused);
+        one.mirror.callFailed(at(1), StoreError::Refused);
         CPPUNIT_ASSERT(!one.mirror.isLoaded());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {0}, one.mirror.beginPeerCall());
         one.mirror.applyUpdate(whole(20, {{"p/a", 18, "v"}}));
@@ -170,7 +170,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, follower.items.size());
         watcher.mirror.applyWatch(at(0), {{{"p/a", 11, std::nullopt}, {"p/c", 12, "v"}}, 12});
         forwardUpdate(watcher, follower);
-        watcher.mirror.callFailed(at(1), StoreFault::HistoryGone);
+        watcher.mirror.callFailed(at(1), StoreError::HistoryGone);
         watcher.mirror.beginStoreCall();
         watcher.mirror.applyPage({{item("p/c", 12)}, false, 40});
         forwardUpdate(watcher, follower);
@@ -187,7 +187,7 @@
         CollectingMirror follower;
         CPPUNIT_ASSERT(follower.mirror.applyUpdate(watcher.mirror.snapshot()));
         watcher.mirror.beginStoreCall();
-        watcher.mirror.callFailed(at(1), StoreFault::HistoryGone);
+        watcher.mirror.callFailed(at(1), StoreError::HistoryGone);
         watcher.mirror.beginStoreCall();
         watcher.mirror.applyPage({{item("p/a", 20, "new")}, true, 30});
         CPPUNIT_ASSERT(!watcher.mirror.takeStoreUpdate().has_value());
@@ -265,7 +265,7 @@
             if (!one.mirror.isBusy(at(time))) {
                 ++calls;
                 one.mirror.beginStoreCall();
-                one.mirror.callFailed(at(time), StoreFault::Unanswered);
+                one.mirror.callFailed(at(time), StoreError::Unanswered);
             }
         }
         CPPUNIT_ASSERT(calls > 15);
