--- a/src/edge/storerecords.cpp
+++ b/src/edge/storerecords.cpp
@@ -39,10 +39,10 @@
         m_announcer.entryVanished();
     }
     if (key == m_wiring.recordKey && value) {
-        m_leadership.recordSeen(revision);
+        m_leadership.updateRecord(revision);
     }
     if (key == m_wiring.leaderKey) {
-        m_leadership.holderSeen(value, revision, now);
+        m_leadership.updateHolder(value, revision, now);
         m_wiring.record("order_right",
                         "holder=" + (value ? *value : std::string("none"))
                             + " token=" + std::to_string(revision));
@@ -51,7 +51,8 @@
 
 std::optional<std::uint64_t> StoreRecords::orderToken(TimePoint now) const
 {
-    return m_standing.isCurrent ? m_leadership.token(now, m_announcer.renewedAt()) : std::nullopt;
+    return m_standing.isCurrent ? m_leadership.fencingToken(now, m_announcer.renewedAt())
+                                : std::nullopt;
 }
 
 void StoreRecords::leave()
@@ -132,7 +133,7 @@
     }
     StoreCommit commit;
     commit.conditions.push_back({m_wiring.leaderKey, 0});
-    commit.writes.push_back({m_wiring.leaderKey, m_leadership.life(), m_announcer.lease()});
+    commit.writes.push_back({m_wiring.leaderKey, m_leadership.identity(), m_announcer.lease()});
     // Whether it was done shows in the copy of the store, also where the answer is lost.
     ++m_calls.writes;
     m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
@@ -144,13 +145,13 @@
 
 void StoreRecords::prepareOrders()
 {
-    if (!m_standing.isCurrent || !m_leadership.shouldRecord(present())) {
+    if (!m_standing.isCurrent || !m_leadership.shouldWriteRecord(present())) {
         return;
     }
     StoreCommit commit;
     commit.conditions.push_back({m_wiring.leaderKey, m_leadership.revision()});
     commit.conditions.push_back({m_wiring.recordKey, 0});
-    commit.writes.push_back({m_wiring.recordKey, m_leadership.life(), StoreLease()});
+    commit.writes.push_back({m_wiring.recordKey, m_leadership.identity(), StoreLease()});
     ++m_calls.writes;
     m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
         if (const auto *fault = std::get_if<StoreError>(&result)) {
--- a/src/edge/storerecords.h
+++ b/src/edge/storerecords.h
@@ -54,10 +54,10 @@
     /** The store answers again, as this node or another one has seen. */
     void storeIsBack(TimePoint now);
     /** This process stood still: nothing it knew of its rights holds any more. */
-    void stoodStill(TimePoint now) { m_leadership.stoodStill(now); }
+    void stoodStill(TimePoint now) { m_leadership.requireRenewal(now); }
 
     bool isAnnounced() const { return m_announcer.isAnnounced(); }
-    bool holdsOrderRight() const { return m_leadership.isHeldByThis(); }
+    bool holdsOrderRight() const { return m_leadership.isHolder(); }
     /** This node has orders to give: its token holds once that is on record. */
     void prepareOrders();
     /** The token with which this node may give orders now; nothing if it may not. */
--- a/src/fleet/leadership.cpp
+++ b/src/fleet/leadership.cpp
@@ -8,14 +8,14 @@
 
 } // namespace
 
-Leadership::Leadership(std::string life)
-    : m_life(std::move(life))
+Leadership::Leadership(std::string identity)
+    : m_identity(std::move(identity))
 { }
 
-void Leadership::holderSeen(const std::string *life, std::uint64_t revision, TimePoint now)
+void Leadership::updateHolder(const std::string *life, std::uint64_t revision, TimePoint now)
 {
     m_hasHolder = life != nullptr;
-    m_isHolder = life && *life == m_life;
+    m_isHolder = life && *life == m_identity;
     if (!m_isHolder) {
         return;
     }
@@ -33,7 +33,7 @@
     return true;
 }
 
-bool Leadership::shouldRecord(TimePoint now)
+bool Leadership::shouldWriteRecord(TimePoint now)
 {
     if (!m_isHolder || m_recordRevision != 0
         || (m_recordRequestedAt != TimePoint {} && now < m_recordRequestedAt + RetryInterval)) {
@@ -43,7 +43,7 @@
     return true;
 }
 
-std::optional<std::uint64_t> Leadership::token(TimePoint now, TimePoint renewedAt) const
+std::optional<std::uint64_t> Leadership::fencingToken(TimePoint now, TimePoint renewedAt) const
 {
     if (!m_isHolder || m_recordRevision == 0 || now > renewedAt + RenewalValidity
         || renewedAt <= m_renewalRequiredSince) {
--- a/src/fleet/leadership.h
+++ b/src/fleet/leadership.h
@@ -28,22 +28,22 @@
     static constexpr Duration TakeoverDelay = std::chrono::milliseconds(6000);
 
     /** @param life identifies this process; a restarted process does not inherit the right. */
-    explicit Leadership(std::string life);
+    explicit Leadership(std::string identity);
 
-    const std::string &life() const { return m_life; }
+    const std::string &identity() const { return m_identity; }
     /**
      * Handles a change of the store's item.
      * @param life the holder's identity, or null if no node holds the right
      * @param revision the item's revision
      */
-    void holderSeen(const std::string *life, std::uint64_t revision, TimePoint now);
+    void updateHolder(const std::string *life, std::uint64_t revision, TimePoint now);
     /**
      * Handles the record that some node was about to give orders at @p revision; the node that held
      * the right then may still be acting. This and holderSeen() may be called in any order, since
      * changes that arrive through another node are not in the order of the store's revisions.
      */
-    void recordSeen(std::uint64_t revision) { m_recordRevision = revision; }
-    bool isHeldByThis() const { return m_isHolder; }
+    void updateRecord(std::uint64_t revision) { m_recordRevision = revision; }
+    bool isHolder() const { return m_isHolder; }
     /** Returns the revision of the item that gives this node the right. */
     std::uint64_t revision() const { return m_revision; }
     /**
@@ -51,7 +51,7 @@
      * The record must be written before the first order, on condition that this node still holds
      * the right. If the right changes hands before that, the next holder need not wait.
      */
-    bool shouldRecord(TimePoint now);
+    bool shouldWriteRecord(TimePoint now);
     /**
      * Returns true at most once a second, if no node holds the right and this one should request
      * it.
@@ -61,15 +61,15 @@
      * Returns the fencing token if this node may act now, otherwise nothing.
      * @param renewedAt the time when the last successful lease renewal was requested
      */
-    std::optional<std::uint64_t> token(TimePoint now, TimePoint renewedAt) const;
+    std::optional<std::uint64_t> fencingToken(TimePoint now, TimePoint renewedAt) const;
     /**
      * Handles a suspension of the process: cached state may be stale, so this node does not act
      * until its lease is renewed again.
      */
-    void stoodStill(TimePoint now) { m_renewalRequiredSince = now; }
+    void requireRenewal(TimePoint now) { m_renewalRequiredSince = now; }
 
 private:
-    std::string m_life;
+    std::string m_identity;
     bool m_hasHolder = false; ///< True if any node holds the right.
     bool m_isHolder = false;
     std::uint64_t m_revision = 0;
--- a/tests/fleet/leadershiptest.cpp
+++ b/tests/fleet/leadershiptest.cpp
@@ -36,10 +36,10 @@
     void firstHolderActsWithoutDelay()
     {
         Leadership leadership(Mine);
-        CPPUNIT_ASSERT(!leadership.token(at(0), at(0)));
-        leadership.holderSeen(&Mine, Token, at(0));
-        leadership.recordSeen(Token + 1);
-        CPPUNIT_ASSERT_EQUAL(Token, *leadership.token(at(10), at(5)));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(0), at(0)));
+        leadership.updateHolder(&Mine, Token, at(0));
+        leadership.updateRecord(Token + 1);
+        CPPUNIT_ASSERT_EQUAL(Token, *leadership.fencingToken(at(10), at(5)));
     }
 
     // Guards against two nodes that give orders at the same time: the previous holder may act until
@@ -47,10 +47,10 @@
     void nextHolderWaitsForTakeoverDelay()
     {
         Leadership leadership(Mine);
-        leadership.recordSeen(Token - 1);
-        leadership.holderSeen(&Mine, Token, at(0));
-        CPPUNIT_ASSERT(!leadership.token(at(5'000), at(4'900)));
-        CPPUNIT_ASSERT(leadership.token(at(6'100), at(6'000)).has_value());
+        leadership.updateRecord(Token - 1);
+        leadership.updateHolder(&Mine, Token, at(0));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(5'000), at(4'900)));
+        CPPUNIT_ASSERT(leadership.fencingToken(at(6'100), at(6'000)).has_value());
         const Duration gap = Leadership::TakeoverDelay - Leadership::RenewalValidity;
         CPPUNIT_ASSERT(gap > std::chrono::milliseconds(3000));
     }
@@ -60,10 +60,10 @@
     void takeoverDelayIsIndependentOfEventOrder()
     {
         Leadership leadership(Mine);
-        leadership.holderSeen(&Mine, Token, at(0));
-        leadership.recordSeen(Token - 1);
-        CPPUNIT_ASSERT(!leadership.token(at(5'000), at(4'900)));
-        CPPUNIT_ASSERT(leadership.token(at(6'100), at(6'000)).has_value());
+        leadership.updateHolder(&Mine, Token, at(0));
+        leadership.updateRecord(Token - 1);
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(5'000), at(4'900)));
+        CPPUNIT_ASSERT(leadership.fencingToken(at(6'100), at(6'000)).has_value());
     }
 
     // Guards against an unnecessary delay if the previous holder was lost before any order: the
@@ -71,51 +71,51 @@
     void noTakeoverDelayBeforeFirstOrder()
     {
         Leadership leadership(Mine);
-        leadership.holderSeen(&Other, Token, at(0));
-        leadership.holderSeen(nullptr, Token + 1, at(3'000));
+        leadership.updateHolder(&Other, Token, at(0));
+        leadership.updateHolder(nullptr, Token + 1, at(3'000));
         CPPUNIT_ASSERT(leadership.shouldAcquire(at(3'010)));
-        leadership.holderSeen(&Mine, Token + 2, at(3'020));
-        CPPUNIT_ASSERT(leadership.shouldRecord(at(3'030)));
+        leadership.updateHolder(&Mine, Token + 2, at(3'020));
+        CPPUNIT_ASSERT(leadership.shouldWriteRecord(at(3'030)));
         CPPUNIT_ASSERT_EQUAL(Token + 2, leadership.revision());
-        leadership.recordSeen(Token + 3);
-        CPPUNIT_ASSERT_EQUAL(Token + 2, *leadership.token(at(3'050), at(3'040)));
+        leadership.updateRecord(Token + 3);
+        CPPUNIT_ASSERT_EQUAL(Token + 2, *leadership.fencingToken(at(3'050), at(3'040)));
     }
 
     // Guards against an order without a record, after which the next holder would not wait.
     void noTokenWithoutRecord()
     {
         Leadership leadership(Mine);
-        CPPUNIT_ASSERT(!leadership.shouldRecord(at(0)));
-        leadership.holderSeen(&Mine, Token, at(0));
-        CPPUNIT_ASSERT(!leadership.token(at(10), at(5)));
-        CPPUNIT_ASSERT(leadership.shouldRecord(at(20)));
-        CPPUNIT_ASSERT(!leadership.shouldRecord(at(500)));
-        CPPUNIT_ASSERT(leadership.shouldRecord(at(1'500)));
-        leadership.recordSeen(Token + 1);
-        CPPUNIT_ASSERT(!leadership.shouldRecord(at(3'000)));
-        leadership.holderSeen(&Other, Token + 2, at(4'000));
-        CPPUNIT_ASSERT(!leadership.shouldRecord(at(5'000)));
+        CPPUNIT_ASSERT(!leadership.shouldWriteRecord(at(0)));
+        leadership.updateHolder(&Mine, Token, at(0));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(10), at(5)));
+        CPPUNIT_ASSERT(leadership.shouldWriteRecord(at(20)));
+        CPPUNIT_ASSERT(!leadership.shouldWriteRecord(at(500)));
+        CPPUNIT_ASSERT(leadership.shouldWriteRecord(at(1'500)));
+        leadership.updateRecord(Token + 1);
+        CPPUNIT_ASSERT(!leadership.shouldWriteRecord(at(3'000)));
+        leadership.updateHolder(&Other, Token + 2, at(4'000));
+        CPPUNIT_ASSERT(!leadership.shouldWriteRecord(at(5'000)));
     }
 
     void noTokenWithoutRecentRenewal()
     {
         Leadership leadership(Mine);
-        leadership.holderSeen(&Mine, Token, at(0));
-        leadership.recordSeen(Token + 1);
-        CPPUNIT_ASSERT(leadership.token(at(1'000), at(0)).has_value());
-        CPPUNIT_ASSERT(!leadership.token(at(1'600), at(0)));
-        CPPUNIT_ASSERT(leadership.token(at(1'700), at(1'650)).has_value());
+        leadership.updateHolder(&Mine, Token, at(0));
+        leadership.updateRecord(Token + 1);
+        CPPUNIT_ASSERT(leadership.fencingToken(at(1'000), at(0)).has_value());
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(1'600), at(0)));
+        CPPUNIT_ASSERT(leadership.fencingToken(at(1'700), at(1'650)).has_value());
     }
 
     void noTokenAfterLosingTheRight()
     {
         Leadership leadership(Mine);
-        leadership.holderSeen(&Mine, Token, at(0));
-        leadership.recordSeen(Token + 1);
-        leadership.holderSeen(nullptr, Token + 1, at(100));
-        CPPUNIT_ASSERT(!leadership.token(at(110), at(105)));
-        leadership.holderSeen(&Other, Token + 2, at(200));
-        CPPUNIT_ASSERT(!leadership.token(at(210), at(205)));
+        leadership.updateHolder(&Mine, Token, at(0));
+        leadership.updateRecord(Token + 1);
+        leadership.updateHolder(nullptr, Token + 1, at(100));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(110), at(105)));
+        leadership.updateHolder(&Other, Token + 2, at(200));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(210), at(205)));
     }
 
     // Guards against orders after a suspension of the VM, whose steady clock stops: the lease looks
@@ -123,18 +123,18 @@
     void suspensionRequiresNewRenewal()
     {
         Leadership leadership(Mine);
-        leadership.holderSeen(&Mine, Token, at(0));
-        leadership.recordSeen(Token + 1);
-        leadership.stoodStill(at(500));
-        CPPUNIT_ASSERT(!leadership.token(at(510), at(450)));
-        CPPUNIT_ASSERT(leadership.token(at(700), at(600)).has_value());
+        leadership.updateHolder(&Mine, Token, at(0));
+        leadership.updateRecord(Token + 1);
+        leadership.requireRenewal(at(500));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(510), at(450)));
+        CPPUNIT_ASSERT(leadership.fencingToken(at(700), at(600)).has_value());
     }
 
     void earlierIncarnationIsAnotherHolder()
     {
         Leadership leadership("n1/2");
-        leadership.holderSeen(&Mine, Token, at(0));
-        CPPUNIT_ASSERT(!leadership.token(at(10), at(5)));
+        leadership.updateHolder(&Mine, Token, at(0));
+        CPPUNIT_ASSERT(!leadership.fencingToken(at(10), at(5)));
         CPPUNIT_ASSERT(!leadership.shouldAcquire(at(10)));
     }
 
@@ -144,7 +144,7 @@
         CPPUNIT_ASSERT(leadership.shouldAcquire(at(0)));
         CPPUNIT_ASSERT(!leadership.shouldAcquire(at(500)));
         CPPUNIT_ASSERT(leadership.shouldAcquire(at(1'500)));
-        leadership.holderSeen(&Other, Token, at(1'600));
+        leadership.updateHolder(&Other, Token, at(1'600));
         CPPUNIT_ASSERT(!leadership.shouldAcquire(at(9'000)));
     }
 };
