--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -259,7 +259,7 @@
         serverChanged(key, item ? &item->value : nullptr);
     } else if (key.starts_with(m_ports.layout.nodesPrefix)) {
         nodeChanged(key, item);
-    } else if (const auto note = crashNoteIn(m_ports.layout.crashesPrefix, key)) {
+    } else if (const auto note = parseCrashKey(m_ports.layout.crashesPrefix, key)) {
         if (item) {
             crashRecorded(*note, item->revision);
         }
--- a/src/edge/storerecords.cpp
+++ b/src/edge/storerecords.cpp
@@ -28,15 +28,15 @@
 
 void StoreRecords::storeIsBack(TimePoint now)
 {
-    m_announcer.storeIsBack(now);
-    m_publisher.storeIsBack(now);
+    m_announcer.storeRecovered(now);
+    m_publisher.storeRecovered(now);
 }
 
 void StoreRecords::changed(const std::string &key, const std::string *value, std::uint64_t revision,
                            TimePoint now)
 {
     if (!value && key == m_wiring.ownKey) {
-        m_announcer.entryVanished();
+        m_announcer.entryRemoved();
     }
     if (key == m_wiring.recordKey && value) {
         m_leadership.updateRecord(revision);
@@ -71,13 +71,13 @@
 
 void StoreRecords::publish(const CrashNote &note)
 {
-    m_publisher.add(note);
+    m_publisher.enqueue(note);
     pumpPublisher();
 }
 
 void StoreRecords::pumpAnnouncer()
 {
-    m_announcer.setWanted(m_standing.leaseLifetime);
+    m_announcer.setTargetLifetime(m_standing.leaseLifetime);
     const auto call = m_announcer.nextCall(present());
     if (!call) {
         return;
@@ -86,7 +86,7 @@
         ++m_calls.leases;
         m_store.grantLease(grant->lifetime, [this](const auto &result) {
             if (const auto *fault = std::get_if<StoreError>(&result)) {
-                m_announcer.failed(present(), *fault);
+                m_announcer.callFailed(present(), *fault);
             } else {
                 m_announcer.leaseGranted(present(), std::get<GrantedLease>(result));
             }
@@ -119,7 +119,7 @@
     if (!fault) {
         return true;
     }
-    m_announcer.failed(present(), *fault);
+    m_announcer.callFailed(present(), *fault);
     m_wiring.record("entry_not_kept", nameOf(*fault));
     return false;
 }
@@ -193,7 +193,7 @@
         if (const auto *fault = std::get_if<StoreError>(&result)) {
             notesFailed(*fault);
         } else {
-            m_publisher.written(present());
+            m_publisher.notesWritten(present());
         }
         pumpPublisher();
     });
@@ -201,10 +201,10 @@
 
 void StoreRecords::notesFailed(StoreError fault)
 {
-    m_publisher.failed(present(), fault);
+    m_publisher.callFailed(present(), fault);
     m_wiring.record("crash_not_shared",
                     std::string(nameOf(fault))
-                        + " waiting=" + std::to_string(m_publisher.waiting()));
+                        + " waiting=" + std::to_string(m_publisher.queuedCount()));
 }
 
 } // namespace indigoway
--- a/src/edge/storerecords.h
+++ b/src/edge/storerecords.h
@@ -34,7 +34,7 @@
     {
         bool isCurrent = false; ///< Its copy of the store is.
         bool isWatcher = false; ///< It is the first of its domain.
-        Duration leaseLifetime = NodeAnnouncer::LeastLifetime;
+        Duration leaseLifetime = NodeAnnouncer::MinLifetime;
     };
 
     /** @p life: a name that no other life of any node has. */
--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -19,7 +19,7 @@
     return prefix + note.content.text() + "/" + std::to_string(note.count);
 }
 
-std::optional<CrashNote> crashNoteIn(const std::string &prefix, const std::string &key)
+std::optional<CrashNote> parseCrashKey(const std::string &prefix, const std::string &key)
 {
     if (!key.starts_with(prefix)) {
         return std::nullopt;
@@ -35,7 +35,7 @@
                       static_cast<std::uint32_t>(key[slash + 1] - '0')};
 }
 
-void CrashPublisher::add(const CrashNote &note)
+void CrashPublisher::enqueue(const CrashNote &note)
 {
     if (note.count == 0) {
         // A queued crash would be written after this reset and count as a newer crash.
@@ -74,7 +74,7 @@
     m_nextCallAt = now;
 }
 
-void CrashPublisher::written(TimePoint now)
+void CrashPublisher::notesWritten(TimePoint now)
 {
     m_isCallInFlight = false;
     m_failures = 0;
@@ -83,7 +83,7 @@
                   m_queue.begin() + static_cast<std::ptrdiff_t>(std::exchange(m_inFlightCount, 0)));
 }
 
-void CrashPublisher::failed(TimePoint now, StoreError fault)
+void CrashPublisher::callFailed(TimePoint now, StoreError fault)
 {
     m_isCallInFlight = false;
     m_inFlightCount = 0;
@@ -95,7 +95,7 @@
     }
 }
 
-void CrashPublisher::storeIsBack(TimePoint now)
+void CrashPublisher::storeRecovered(TimePoint now)
 {
     m_failures = 0;
     m_nextCallAt = std::min(m_nextCallAt, now);
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -19,7 +19,7 @@
  */
 std::string crashKey(const std::string &prefix, const CrashNote &note);
 /** Parses a key made by crashKey(); returns nothing for any other key. */
-std::optional<CrashNote> crashNoteIn(const std::string &prefix, const std::string &key);
+std::optional<CrashNote> parseCrashKey(const std::string &prefix, const std::string &key);
 
 struct GrantNoteLeaseCall
 {
@@ -49,15 +49,15 @@
      */
     static constexpr std::size_t MaxQueuedNotes = 256;
 
-    void add(const CrashNote &note);
+    void enqueue(const CrashNote &note);
     /** Returns the next call to the store, or nothing while a call is in flight or none is due. */
     std::optional<PublisherCall> nextCall(TimePoint now);
     void leaseGranted(TimePoint now, StoreLease lease);
-    void written(TimePoint now);
-    void failed(TimePoint now, StoreError fault);
+    void notesWritten(TimePoint now);
+    void callFailed(TimePoint now, StoreError fault);
     /** Makes failed calls due at once when the store has become reachable again. */
-    void storeIsBack(TimePoint now);
-    std::size_t waiting() const { return m_queue.size(); }
+    void storeRecovered(TimePoint now);
+    std::size_t queuedCount() const { return m_queue.size(); }
 
 private:
     std::deque<CrashNote> m_queue;
--- a/src/fleet/nodeannouncer.cpp
+++ b/src/fleet/nodeannouncer.cpp
@@ -23,7 +23,7 @@
 
 Duration NodeAnnouncer::lifetimeFor(std::size_t nodes)
 {
-    return std::max(LeastLifetime, LifetimePerNode * static_cast<Duration::rep>(nodes));
+    return std::max(MinLifetime, LifetimePerNode * static_cast<Duration::rep>(nodes));
 }
 
 std::optional<AnnouncerCall> NodeAnnouncer::nextCall(TimePoint now)
@@ -70,7 +70,7 @@
     m_nextCallAt = m_isEntryWritten ? now + renewalInterval() : now;
 }
 
-void NodeAnnouncer::failed(TimePoint now, StoreError fault)
+void NodeAnnouncer::callFailed(TimePoint now, StoreError fault)
 {
     m_isCallInFlight = false;
     m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
@@ -83,7 +83,7 @@
     }
 }
 
-void NodeAnnouncer::storeIsBack(TimePoint now)
+void NodeAnnouncer::storeRecovered(TimePoint now)
 {
     if (m_failures > 0) {
         m_failures = 0;
@@ -91,7 +91,7 @@
     }
 }
 
-void NodeAnnouncer::entryVanished()
+void NodeAnnouncer::entryRemoved()
 {
     m_isEntryWritten = false;
     m_nextCallAt = {};
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -35,7 +35,7 @@
 {
 public:
     /** The shortest lease lifetime; it covers three failed renewals. */
-    static constexpr Duration LeastLifetime = std::chrono::milliseconds(3000);
+    static constexpr Duration MinLifetime = std::chrono::milliseconds(3000);
     /** Returns the lease lifetime for a fleet of @p nodes. */
     static Duration lifetimeFor(std::size_t nodes);
 
@@ -43,18 +43,18 @@
      * Sets the target lifetime. The lease is replaced if its lifetime differs from the target by a
      * factor of two or more.
      */
-    void setWanted(Duration lifetime) { m_targetLifetime = lifetime; }
+    void setTargetLifetime(Duration lifetime) { m_targetLifetime = lifetime; }
     /** Returns the next call to the store, or nothing while a call is in flight or none is due. */
     std::optional<AnnouncerCall> nextCall(TimePoint now);
 
     void leaseGranted(TimePoint now, const GrantedLease &granted);
     void entryWritten(TimePoint now);
     void leaseRenewed(TimePoint now);
-    void failed(TimePoint now, StoreError fault);
+    void callFailed(TimePoint now, StoreError fault);
     /** Makes a failed call due at once when this or another node has reached the store again. */
-    void storeIsBack(TimePoint now);
+    void storeRecovered(TimePoint now);
     /** Handles the removal of the entry while this node has not revoked its lease. */
-    void entryVanished();
+    void entryRemoved();
     /**
      * Stops all further writes.
      * @return the lease to revoke, or none
@@ -74,8 +74,8 @@
     bool m_isCallInFlight = false;
     bool m_isLeaving = false;
     StoreLease m_lease;
-    Duration m_lifetime = LeastLifetime; ///< Lifetime of m_lease.
-    Duration m_targetLifetime = LeastLifetime;
+    Duration m_lifetime = MinLifetime; ///< Lifetime of m_lease.
+    Duration m_targetLifetime = MinLifetime;
     bool m_isEntryWritten = false;
     TimePoint m_nextCallAt {};
     std::uint32_t m_failures = 0; ///< Consecutive failed calls.
--- a/tests/fleet/crashpublishertest.cpp
+++ b/tests/fleet/crashpublishertest.cpp
@@ -36,17 +36,17 @@
     {
         CrashPublisher publisher;
         CPPUNIT_ASSERT(!publisher.nextCall(at(0)));
-        publisher.add(note("a", 1));
-        publisher.add(note("b", 2));
-        publisher.add(note("a", 1));
+        publisher.enqueue(note("a", 1));
+        publisher.enqueue(note("b", 2));
+        publisher.enqueue(note("a", 1));
         CPPUNIT_ASSERT(std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(0))));
         CPPUNIT_ASSERT(!publisher.nextCall(at(1)));
         publisher.leaseGranted(at(5), StoreLease(7));
         const auto write = std::get<WriteNotesCall>(*publisher.nextCall(at(5)));
         CPPUNIT_ASSERT(write.lease == StoreLease(7));
         CPPUNIT_ASSERT(write.notes == (std::vector {note("a", 1), note("b", 2)}));
-        publisher.add(note("c", 1));
-        publisher.written(at(10));
+        publisher.enqueue(note("c", 1));
+        publisher.notesWritten(at(10));
         CPPUNIT_ASSERT_EQUAL(std::size_t {1},
                              std::get<WriteNotesCall>(*publisher.nextCall(at(10))).notes.size());
     }
@@ -56,12 +56,12 @@
     void rotatesLeaseBeforeItExpires()
     {
         CrashPublisher publisher;
-        publisher.add(note("a", 1));
+        publisher.enqueue(note("a", 1));
         publisher.nextCall(at(0));
         publisher.leaseGranted(at(5), StoreLease(7));
         publisher.nextCall(at(5));
-        publisher.written(at(10));
-        publisher.add(note("b", 1));
+        publisher.notesWritten(at(10));
+        publisher.enqueue(note("b", 1));
         CPPUNIT_ASSERT(
             std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(121'000))));
     }
@@ -69,21 +69,21 @@
     void backsOffWhileStoreIsUnreachable()
     {
         CrashPublisher publisher;
-        publisher.add(note("a", 1));
+        publisher.enqueue(note("a", 1));
         int calls = 0;
         for (int time = 0; time < 20'000; time += 50) {
             if (publisher.nextCall(at(time))) {
                 ++calls;
-                publisher.failed(at(time), StoreError::Unanswered);
+                publisher.callFailed(at(time), StoreError::Unanswered);
             }
         }
         CPPUNIT_ASSERT(calls >= 5);
         CPPUNIT_ASSERT(calls <= 9);
-        publisher.storeIsBack(at(20'000));
+        publisher.storeRecovered(at(20'000));
         CPPUNIT_ASSERT(publisher.nextCall(at(20'000)));
         publisher.leaseGranted(at(20'004), StoreLease(7));
         publisher.nextCall(at(20'004));
-        publisher.failed(at(20'008), StoreError::NoLease);
+        publisher.callFailed(at(20'008), StoreError::NoLease);
         CPPUNIT_ASSERT(std::holds_alternative<GrantNoteLeaseCall>(*publisher.nextCall(at(20'008))));
     }
 
@@ -92,11 +92,11 @@
     void resetReplacesQueuedCrash()
     {
         CrashPublisher publisher;
-        publisher.add(note("a", 1));
-        publisher.add(note("b", 1));
+        publisher.enqueue(note("a", 1));
+        publisher.enqueue(note("b", 1));
         publisher.nextCall(at(0));
-        publisher.failed(at(1), StoreError::Unanswered);
-        publisher.add(note("a", 0));
+        publisher.callFailed(at(1), StoreError::Unanswered);
+        publisher.enqueue(note("a", 0));
         publisher.nextCall(at(1'000));
         publisher.leaseGranted(at(1'005), StoreLease(7));
         const auto write = std::get<WriteNotesCall>(*publisher.nextCall(at(1'005)));
@@ -107,9 +107,9 @@
     {
         CrashPublisher publisher;
         for (int i = 0; i < 1'000; ++i) {
-            publisher.add(note("c" + std::to_string(i), 1));
+            publisher.enqueue(note("c" + std::to_string(i), 1));
         }
-        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MaxQueuedNotes, publisher.waiting());
+        CPPUNIT_ASSERT_EQUAL(CrashPublisher::MaxQueuedNotes, publisher.queuedCount());
         publisher.nextCall(at(0));
         publisher.leaseGranted(at(0), StoreLease(7));
         CPPUNIT_ASSERT_EQUAL(CrashPublisher::MaxBatchSize,
@@ -120,12 +120,12 @@
     void rejectsForeignKeys()
     {
         const CrashNote one = note("0af3", 2);
-        CPPUNIT_ASSERT(crashNoteIn(Prefix, crashKey(Prefix, one)) == one);
+        CPPUNIT_ASSERT(parseCrashKey(Prefix, crashKey(Prefix, one)) == one);
         for (const std::string &key :
              {std::string("crashes/"), std::string("crashes/a"), std::string("crashes/a/"),
               std::string("crashes//1"), std::string("crashes/a/x"), std::string("crashes/a/12"),
               std::string("other/a/1"), "crashes/" + std::string(100, 'a') + "/1"}) {
-            CPPUNIT_ASSERT(!crashNoteIn(Prefix, key));
+            CPPUNIT_ASSERT(!parseCrashKey(Prefix, key));
         }
     }
 };
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/noderostertest.cpp
@@ -20,7 +20,7 @@
     return {NodeName(name), DomainName("d"), name + ":1", name + ":2"};
 }
 
-GrantedLease lease(std::uint64_t number, Duration lifetime = NodeAnnouncer::LeastLifetime)
+GrantedLease lease(std::uint64_t number, Duration lifetime = NodeAnnouncer::MinLifetime)
 {
     return {StoreLease(number), lifetime};
 }
@@ -30,7 +30,7 @@
 {
     constexpr int Minute = 60'000;
     NodeAnnouncer announcer;
-    announcer.setWanted(NodeAnnouncer::lifetimeFor(nodes));
+    announcer.setTargetLifetime(NodeAnnouncer::lifetimeFor(nodes));
     int calls = 0;
     for (int time = 0; time < Minute; time += 50) {
         const auto call = announcer.nextCall(at(time));
@@ -151,12 +151,12 @@
         announcer.entryWritten(at(2));
         CPPUNIT_ASSERT(!announcer.nextCall(at(3)).has_value());
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(1'000))));
-        announcer.failed(at(1'001), StoreError::NoLease);
+        announcer.callFailed(at(1'001), StoreError::NoLease);
         CPPUNIT_ASSERT(std::holds_alternative<GrantLeaseCall>(*announcer.nextCall(at(1'001))));
         announcer.leaseGranted(at(1'002), lease(6));
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'002))));
         announcer.entryWritten(at(1'003));
-        announcer.entryVanished();
+        announcer.entryRemoved();
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'004))));
     }
 
@@ -174,12 +174,12 @@
         for (; time < 9'000; time += 10) {
             if (announcer.nextCall(at(time))) {
                 ++calls;
-                announcer.failed(at(time), StoreError::Refused);
+                announcer.callFailed(at(time), StoreError::Refused);
             }
         }
         CPPUNIT_ASSERT(calls >= 4);
         CPPUNIT_ASSERT(calls <= 7);
-        announcer.storeIsBack(at(time));
+        announcer.storeRecovered(at(time));
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(time))));
     }
 
@@ -200,21 +200,20 @@
         announcer.leaseGranted(at(1), lease(5));
         announcer.nextCall(at(1));
         announcer.entryWritten(at(2));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 3 / 2);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 3 / 2);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(900))));
         announcer.leaseRenewed(at(901));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 4);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 4);
         const auto grant = announcer.nextCall(at(1'800));
-        CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime
-                       == NodeAnnouncer::LeastLifetime * 4);
+        CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime == NodeAnnouncer::MinLifetime * 4);
         // After a failed grant the existing lease must still be renewed in time.
-        announcer.failed(at(1'801), StoreError::Refused);
-        announcer.setWanted(NodeAnnouncer::LeastLifetime);
+        announcer.callFailed(at(1'801), StoreError::Refused);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(2'100))));
         announcer.leaseRenewed(at(2'101));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 4);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 4);
         announcer.nextCall(at(3'000));
-        announcer.leaseGranted(at(3'001), lease(6, NodeAnnouncer::LeastLifetime * 4));
+        announcer.leaseGranted(at(3'001), lease(6, NodeAnnouncer::MinLifetime * 4));
         const auto put = announcer.nextCall(at(3'001));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {6}, std::get<PutEntryCall>(*put).lease.value());
     }
