--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -382,7 +382,7 @@
             timeOut(step, *request);
         }
     }
-    for (const ServerName &name : m_state.servers.forgetVanished(step.now)) {
+    for (const ServerName &name : m_state.servers.purgeWithdrawn(step.now)) {
         forget(name);
     }
     m_state.crashes.forgetOld(step.now);
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -185,8 +185,8 @@
     wiring.changed = [&node](const std::string &key, const StoredItem *item) {
         node.storeChanged(key, item);
     };
-    wiring.roster = [&node]() -> const NodeRoster & {
-        node.m_roster.forgetVanished(present());
+    wiring.roster = [&node]() -> const NodeDirectory & {
+        node.m_roster.purgeWithdrawn(present());
         return node.m_roster;
     };
     wiring.seeds = [&node] {
@@ -236,7 +236,7 @@
 
 void EdgeNode::chooseScheduler(TimePoint now)
 {
-    m_roster.forgetVanished(now);
+    m_roster.purgeWithdrawn(now);
     auto chosen =
         m_settings.scheduling.empty() ? std::nullopt : scheduling::schedulerOf(m_roster.members());
     if (chosen == m_scheduler) {
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -7,7 +7,7 @@
 #include "edge/schedulingexchange.h"
 #include "edge/statecodec.h"
 #include "edge/statesync.h"
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
@@ -95,7 +95,7 @@
     Incarnation m_life;
     DecisionLog m_log;
     EdgeMetrics m_metrics;
-    NodeRoster m_roster;
+    NodeDirectory m_roster;
     dispatch::Dispatcher m_dispatcher;
     RequestRelay m_relay;
     StateSync m_sync;
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -80,7 +80,7 @@
 
 void StateSync::pumpRecords()
 {
-    const NodeRoster &roster = m_wiring.roster();
+    const NodeDirectory &roster = m_wiring.roster();
     StoreRecords::Standing standing;
     standing.isCurrent = m_isCurrent;
     standing.isWatcher = m_choice.isWatcher(roster);
@@ -121,7 +121,7 @@
     if (m_mirror.isBusy(now)) {
         return;
     }
-    const NodeRoster &roster = m_wiring.roster();
+    const NodeDirectory &roster = m_wiring.roster();
     const bool isLongListing =
         !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
     const std::optional<Upstream> upstream = isLongListing
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -31,7 +31,7 @@
         /** An item was written, or is gone if it is null. */
         std::function<void(const std::string &key, const StoredItem *item)> changed;
         StoreRecords::RecordHandler record;
-        std::function<const NodeRoster &()> roster;
+        std::function<const NodeDirectory &()> roster;
         std::function<std::vector<std::string>()> seeds; ///< Further control addresses.
         /** Whether other nodes may know this one from their settings. */
         std::function<bool()> isSeed;
--- a/src/edge/storerecords.h
+++ b/src/edge/storerecords.h
@@ -4,7 +4,7 @@
 #include "fleet/crashpublisher.h"
 #include "fleet/leadership.h"
 #include "fleet/nodeannouncer.h"
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 #include "store/keyvaluestore.h"
 
 #include <functional>
--- a/src/fleet/noderoster.cpp
+++ b/src/fleet/nodedirectory.cpp
@@ -1,4 +1,4 @@
-#include "noderoster.h"
+#include "nodedirectory.h"
 
 #include "core/jsontext.h"
 #include "core/turnrandom.h"
@@ -41,11 +41,11 @@
     return std::tie(other.processors, name) < std::tie(processors, other.name);
 }
 
-NodeRoster::NodeRoster(NodeEntry self)
+NodeDirectory::NodeDirectory(NodeEntry self)
     : m_self(std::move(self))
 { }
 
-void NodeRoster::announce(const std::string &key, NodeEntry entry)
+void NodeDirectory::announce(const std::string &key, NodeEntry entry)
 {
     TrackedNode &tracked = m_nodes[key];
     removeFromDomain(tracked.entry);
@@ -54,7 +54,7 @@
         &tracked.entry;
 }
 
-void NodeRoster::withdraw(const std::string &key, TimePoint now)
+void NodeDirectory::withdraw(const std::string &key, TimePoint now)
 {
     const auto it = m_nodes.find(key);
     if (it != m_nodes.end() && !it->second.withdrawnAt) {
@@ -63,7 +63,7 @@
     }
 }
 
-void NodeRoster::forgetVanished(TimePoint now)
+void NodeDirectory::purgeWithdrawn(TimePoint now)
 {
     while (!m_withdrawn.empty() && now >= m_withdrawn.front().at + RetentionTime) {
         const auto it = m_nodes.find(m_withdrawn.front().key);
@@ -75,7 +75,7 @@
     }
 }
 
-void NodeRoster::removeFromDomain(const NodeEntry &entry)
+void NodeDirectory::removeFromDomain(const NodeEntry &entry)
 {
     const auto domain = m_domains.find(entry.domain);
     if (domain == m_domains.end()) {
@@ -87,8 +87,8 @@
     }
 }
 
-std::vector<std::string> NodeRoster::callerAddresses(TimePoint now, std::size_t maxCount,
-                                                     std::uint64_t entropy) const
+std::vector<std::string> NodeDirectory::callerAddresses(TimePoint now, std::size_t maxCount,
+                                                        std::uint64_t entropy) const
 {
     std::vector<std::string> addresses;
     for (const auto &[key, tracked] : m_nodes) {
@@ -107,7 +107,7 @@
     return addresses;
 }
 
-std::vector<const NodeEntry *> NodeRoster::members() const
+std::vector<const NodeEntry *> NodeDirectory::members() const
 {
     std::vector<const NodeEntry *> members;
     members.reserve(m_nodes.size());
@@ -117,14 +117,14 @@
     return members;
 }
 
-const RankedNodes &NodeRoster::nodesInDomain(const DomainName &domain) const
+const RankedNodes &NodeDirectory::nodesInDomain(const DomainName &domain) const
 {
     static const RankedNodes None;
     const auto it = m_domains.find(domain);
     return it == m_domains.end() ? None : it->second;
 }
 
-std::uint32_t NodeRoster::count(TimePoint now) const
+std::uint32_t NodeDirectory::count(TimePoint now) const
 {
     std::uint32_t others = 0;
     for (const auto &[key, tracked] : m_nodes) {
@@ -133,7 +133,7 @@
     return others + 1;
 }
 
-bool NodeRoster::isRetained(const TrackedNode &tracked, TimePoint now)
+bool NodeDirectory::isRetained(const TrackedNode &tracked, TimePoint now)
 {
     return !tracked.withdrawnAt || now < *tracked.withdrawnAt + RetentionTime;
 }
--- a/src/fleet/noderoster.h
+++ b/src/fleet/nodedirectory.h
@@ -52,19 +52,19 @@
  * healthy nodes expire while the store is unreachable, and callers would otherwise get an empty
  * list.
  */
-class NodeRoster
+class NodeDirectory
 {
 public:
     static constexpr Duration RetentionTime = std::chrono::milliseconds(1200);
 
-    explicit NodeRoster(NodeEntry self);
+    explicit NodeDirectory(NodeEntry self);
 
     /** Sets this node's own entry; its addresses are known only after it listens. */
     void setSelf(NodeEntry self) { m_self = std::move(self); }
     void announce(const std::string &key, NodeEntry entry);
     void withdraw(const std::string &key, TimePoint now);
     /** Removes the nodes whose retention time has passed. */
-    void forgetVanished(TimePoint now);
+    void purgeWithdrawn(TimePoint now);
     /** Excludes this node from the addresses for callers. */
     void setLeaving() { m_isLeaving = true; }
     /**
--- a/src/fleet/serverdirectory.cpp
+++ b/src/fleet/serverdirectory.cpp
@@ -39,7 +39,7 @@
     erase(m_entries.find(name));
 }
 
-std::vector<ServerName> ServerDirectory::forgetVanished(TimePoint now)
+std::vector<ServerName> ServerDirectory::purgeWithdrawn(TimePoint now)
 {
     std::vector<ServerName> removed;
     for (; !m_withdrawn.empty() && now >= m_withdrawn.front().at + LastResortTime;
--- a/src/fleet/serverdirectory.h
+++ b/src/fleet/serverdirectory.h
@@ -46,7 +46,7 @@
      * Removes the entries that were withdrawn longer than LastResortTime ago.
      * @return the names of the removed servers
      */
-    std::vector<ServerName> forgetVanished(TimePoint now);
+    std::vector<ServerName> purgeWithdrawn(TimePoint now);
 
     /** Returns the name of the latest incarnation of @p instance; empty if unknown. */
     ServerName nameOf(const std::string &instance) const;
--- a/src/fleet/upstreamchoice.cpp
+++ b/src/fleet/upstreamchoice.cpp
@@ -50,7 +50,7 @@
                             spread % static_cast<std::uint64_t>(SnapshotTimeoutJitter.count()))))
 { }
 
-Upstream UpstreamChoice::choose(TimePoint now, const NodeRoster &roster,
+Upstream UpstreamChoice::choose(TimePoint now, const NodeDirectory &roster,
                                 const std::vector<std::string> &seeds)
 {
     m_snapshotWantedSince.reset();
@@ -67,7 +67,8 @@
     return chooseStore(now);
 }
 
-std::optional<Upstream> UpstreamChoice::chooseForFirstCopy(TimePoint now, const NodeRoster &roster,
+std::optional<Upstream> UpstreamChoice::chooseForFirstCopy(TimePoint now,
+                                                           const NodeDirectory &roster,
                                                            const std::vector<std::string> &seeds,
                                                            bool isSeed)
 {
@@ -108,7 +109,7 @@
     }
 }
 
-bool UpstreamChoice::isWatcher(const NodeRoster &roster) const
+bool UpstreamChoice::isWatcher(const NodeDirectory &roster) const
 {
     const RankedNodes &nodes = roster.nodesInDomain(m_domain);
     return !nodes.empty() && nodes.begin()->first.name == m_rank.name;
@@ -139,7 +140,8 @@
     }
 }
 
-std::optional<std::string> UpstreamChoice::parentNode(TimePoint now, const NodeRoster &roster) const
+std::optional<std::string> UpstreamChoice::parentNode(TimePoint now,
+                                                      const NodeDirectory &roster) const
 {
     std::vector<const NodeEntry *> candidates;
     for (const auto &[rank, node] : roster.nodesInDomain(m_domain)) {
@@ -167,7 +169,7 @@
     });
 }
 
-bool UpstreamChoice::isHighestRanked(const NodeRoster &roster) const
+bool UpstreamChoice::isHighestRanked(const NodeDirectory &roster) const
 {
     const RankedNodes &nodes = roster.nodesInDomain(m_domain);
     return nodes.empty() || !(nodes.begin()->first < m_rank);
@@ -200,7 +202,7 @@
     return it != m_peerBackoffs.end() && now < it->second.until;
 }
 
-std::optional<Upstream> UpstreamChoice::chooseAnyPeer(TimePoint now, const NodeRoster &roster,
+std::optional<Upstream> UpstreamChoice::chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
                                                       const std::vector<std::string> &seeds)
 {
     std::vector<std::string> addresses;
--- a/src/fleet/upstreamchoice.h
+++ b/src/fleet/upstreamchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 
 #include <indigoway/ids.h>
 
@@ -54,19 +54,20 @@
      * @param roster the known nodes, with or without this one
      * @param seeds further control addresses
      */
-    Upstream choose(TimePoint now, const NodeRoster &roster, const std::vector<std::string> &seeds);
+    Upstream choose(TimePoint now, const NodeDirectory &roster,
+                    const std::vector<std::string> &seeds);
     /**
      * Chooses the upstream for the rest of the initial listing.
      * @param isSeed whether other nodes may have this node's address in their settings and ask it
      *     first
      * @return nothing if the peers are busy and should be asked again later
      */
-    std::optional<Upstream> chooseForFirstCopy(TimePoint now, const NodeRoster &roster,
+    std::optional<Upstream> chooseForFirstCopy(TimePoint now, const NodeDirectory &roster,
                                                const std::vector<std::string> &seeds, bool isSeed);
     /** Handles a peer that is too busy to send a snapshot and names @p others that may have one. */
     void referred(TimePoint now, const Upstream &busy, const std::vector<std::string> &others);
     /** Returns true if this node is its domain's watcher; false while it has no entry itself. */
-    bool isWatcher(const NodeRoster &roster) const;
+    bool isWatcher(const NodeDirectory &roster) const;
     void succeeded(const Upstream &upstream);
     void failed(TimePoint now, const Upstream &upstream);
 
@@ -83,15 +84,15 @@
      * it has none. After several consecutive failures it goes further up, since nodes on the same
      * level depend on the same nodes above.
      */
-    std::optional<std::string> parentNode(TimePoint now, const NodeRoster &roster) const;
+    std::optional<std::string> parentNode(TimePoint now, const NodeDirectory &roster) const;
     /** Returns true if no node of the domain has a better rank. */
-    bool isHighestRanked(const NodeRoster &roster) const;
+    bool isHighestRanked(const NodeDirectory &roster) const;
     bool isBackedOff(const std::string &address, TimePoint now) const;
     bool mayCallStore(TimePoint now, bool isDomainWatcher) const;
     Upstream chooseStore(TimePoint now);
     /** Returns the time after which a failed store is tried again. */
     Duration storeRetryInterval(bool isDomainWatcher) const;
-    std::optional<Upstream> chooseAnyPeer(TimePoint now, const NodeRoster &roster,
+    std::optional<Upstream> chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
                                           const std::vector<std::string> &seeds);
     std::optional<Upstream> chooseNextOf(TimePoint now, const std::vector<std::string> &addresses);
     /** Returns true if any peer is avoided only because it is too busy to send a snapshot. */
--- a/src/scheduling/schedulerchoice.h
+++ b/src/scheduling/schedulerchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 
 #include <optional>
 #include <vector>
--- a/tests/dispatch/phasebalancetest.cpp
+++ b/tests/dispatch/phasebalancetest.cpp
@@ -153,7 +153,7 @@
         servers.withdraw(ServerName("p2"), at(20'000));
         servers.withdraw(ServerName("p3"), at(20'000));
         for (int time = 20'000; time < 26'000; time += 250) {
-            servers.forgetVanished(at(time));
+            servers.purgeWithdrawn(at(time));
             CPPUNIT_ASSERT(orders.decide(at(time), one, servers, balance).empty());
         }
     }
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -1,5 +1,5 @@
 #include "edge/newsanswers.h"
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 #include "fleet/upstreamchoice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -126,7 +126,7 @@
     Fleet &m_fleet;
     NodeEntry m_entry;
     bool m_isSeed;
-    NodeRoster m_roster;
+    NodeDirectory m_roster;
     Mirror m_mirror;
     StalenessBound m_proof;
     NewsAnswers m_answers;
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/nodedirectorytest.cpp
@@ -1,4 +1,4 @@
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 
 #include "fleet/nodeannouncer.h"
 
@@ -56,9 +56,9 @@
 
 } // namespace
 
-class NodeRosterTest : public CppUnit::TestFixture
+class NodeDirectoryTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(NodeRosterTest);
+    CPPUNIT_TEST_SUITE(NodeDirectoryTest);
     CPPUNIT_TEST(entryRoundTrip);
     CPPUNIT_TEST(leavingNodeListsOnlyOthers);
     CPPUNIT_TEST(withdrawnNodeIsRetained);
@@ -83,7 +83,7 @@
 
     void leavingNodeListsOnlyOthers()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory roster(node("self"));
         roster.announce("k/self", node("self"));
         CPPUNIT_ASSERT(contains(roster.callerAddresses(at(0), 64, 1), "self:1"));
         roster.announce("k/b", node("b"));
@@ -97,7 +97,7 @@
     // outage.
     void withdrawnNodeIsRetained()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory roster(node("self"));
         roster.announce("k/b", node("b"));
         roster.withdraw("k/b", at(0));
         CPPUNIT_ASSERT(contains(roster.callerAddresses(at(500), 64, 1), "b:1"));
@@ -108,7 +108,7 @@
     /** Guards against a node that is kept in its domain after it has gone or has changed. */
     void ranksFollowAnnouncements()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory roster(node("self"));
         NodeEntry large = node("z");
         large.processors = 0.5;
         roster.announce("k/z", large);
@@ -120,18 +120,18 @@
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("b"));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
         roster.withdraw("k/b", at(0));
-        roster.forgetVanished(at(500));
+        roster.purgeWithdrawn(at(500));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
         roster.withdraw("k/z", at(600));
         roster.announce("k/z", large);
-        roster.forgetVanished(at(3'000));
+        roster.purgeWithdrawn(at(3'000));
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, ranked.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, roster.members().size());
     }
 
     void boundsCallerAddresses()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory roster(node("self"));
         for (int i = 0; i < 100; ++i) {
             const std::string name = "n" + std::to_string(i);
             roster.announce(name, node(name));
@@ -228,4 +228,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NodeRosterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NodeDirectoryTest);
--- a/tests/fleet/serverdirectorytest.cpp
+++ b/tests/fleet/serverdirectorytest.cpp
@@ -109,7 +109,7 @@
         directory.announce(server("a"));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(200)));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(5'000)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.forgetVanished(at(5'000)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.purgeWithdrawn(at(5'000)).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.size());
     }
 
--- a/tests/fleet/upstreamchoicetest.cpp
+++ b/tests/fleet/upstreamchoicetest.cpp
@@ -36,9 +36,9 @@
     return UpstreamChoice(node(name, name.substr(0, 1)), 0);
 }
 
-NodeRoster rosterOf(const std::vector<NodeEntry> &members)
+NodeDirectory rosterOf(const std::vector<NodeEntry> &members)
 {
-    NodeRoster roster({});
+    NodeDirectory roster({});
     for (const NodeEntry &member : members) {
         roster.announce("k/" + member.name.text(), member);
     }
@@ -65,7 +65,7 @@
 std::map<std::string, std::size_t> followerCounts(const std::vector<NodeEntry> &members)
 {
     std::map<std::string, std::size_t> followers;
-    const NodeRoster roster = rosterOf(members);
+    const NodeDirectory roster = rosterOf(members);
     for (const NodeEntry &member : members) {
         UpstreamChoice choice(member, 0);
         ++followers[choice.choose(at(0), roster, {}).peer.value_or("store")];
@@ -144,7 +144,7 @@
     void treeIsShallow()
     {
         const auto members = fleet(400);
-        const NodeRoster roster = rosterOf(members);
+        const NodeDirectory roster = rosterOf(members);
         std::map<std::string, std::string> parents;
         for (const NodeEntry &member : members) {
             UpstreamChoice choice(member, 0);
@@ -164,7 +164,7 @@
     void repeatedFailuresGoFurtherUp()
     {
         const auto members = fleet(200);
-        const NodeRoster roster = rosterOf(members);
+        const NodeDirectory roster = rosterOf(members);
         UpstreamChoice choice(members.at(199), 0);
         int asked = 0;
         for (int time = 0; time < 1'000; time += 10) {
@@ -317,7 +317,7 @@
         const auto probes = [](const std::string &name) {
             UpstreamChoice choice = choiceOf(name);
             int asked = 0;
-            const NodeRoster roster = rosterOf(fleet(30));
+            const NodeDirectory roster = rosterOf(fleet(30));
             for (int time = 0; time < 12'000; time += 100) {
                 const Upstream upstream = choice.choose(at(time), roster, {});
                 asked += upstream.peer ? 0 : 1;
