--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -213,7 +213,7 @@
 {
     SchedulingExchange::Wiring wiring;
     wiring.scheduler = [&node] {
-        return node.m_scheduler ? std::optional(node.m_scheduler->scheduling) : std::nullopt;
+        return node.m_scheduler ? std::optional(node.m_scheduler->schedulingAddress) : std::nullopt;
     };
     wiring.view = [&node]() -> std::optional<scheduling::EngineScheduler::View> {
         const RouteTable *routes = node.m_dispatcher.routes();
@@ -358,7 +358,7 @@
         return;
     }
     if (m_sync.isKnown()) {
-        record("node", {{"key", key}, {"callers", entry->callers}});
+        record("node", {{"key", key}, {"callers", entry->callerAddress}});
     }
     entry->announcedSince = item->created;
     entry->announcedAt = item->revision;
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -188,7 +188,7 @@
     HttpCall call;
     call.address = *upstream.peer;
     call.path = "/v1/mirror?after=" + std::to_string(m_mirror.beginPeerCall())
-        + "&from=" + m_wiring.self.control;
+        + "&from=" + m_wiring.self.controlAddress;
     call.timeout = m_mirror.isLoaded() ? PeerTimeout : CopyTimeout;
     call.traffic = Traffic::Peers;
     const BootTime askedAt = BootClock::now();
--- a/src/fleet/nodedirectory.cpp
+++ b/src/fleet/nodedirectory.cpp
@@ -13,10 +13,10 @@
     Json::Value value;
     value["name"] = entry.name.text();
     value["domain"] = entry.domain.text();
-    value["callers"] = entry.callers;
-    value["control"] = entry.control;
-    value["scheduling"] = entry.scheduling;
-    value["processors"] = entry.processors;
+    value["callers"] = entry.callerAddress;
+    value["control"] = entry.controlAddress;
+    value["scheduling"] = entry.schedulingAddress;
+    value["processors"] = entry.cpuShare;
     return jsonText(value);
 }
 
@@ -26,11 +26,11 @@
     NodeEntry entry;
     entry.name = NodeName(stringMember(value, "name"));
     entry.domain = DomainName(stringMember(value, "domain"));
-    entry.callers = stringMember(value, "callers");
-    entry.control = stringMember(value, "control");
-    entry.scheduling = stringMember(value, "scheduling");
-    entry.processors = realMember(value, "processors");
-    if (entry.name.isEmpty() || entry.callers.empty()) {
+    entry.callerAddress = stringMember(value, "callers");
+    entry.controlAddress = stringMember(value, "control");
+    entry.schedulingAddress = stringMember(value, "scheduling");
+    entry.cpuShare = realMember(value, "processors");
+    if (entry.name.isEmpty() || entry.callerAddress.empty()) {
         return std::nullopt;
     }
     return entry;
@@ -38,7 +38,7 @@
 
 bool NodeRank::operator<(const NodeRank &other) const
 {
-    return std::tie(other.processors, name) < std::tie(processors, other.name);
+    return std::tie(other.cpuShare, name) < std::tie(cpuShare, other.name);
 }
 
 NodeDirectory::NodeDirectory(NodeEntry self)
@@ -50,8 +50,7 @@
     TrackedNode &tracked = m_nodes[key];
     removeFromDomain(tracked.entry);
     tracked = {std::move(entry), std::nullopt};
-    m_domains[tracked.entry.domain][{tracked.entry.processors, tracked.entry.name}] =
-        &tracked.entry;
+    m_domains[tracked.entry.domain][{tracked.entry.cpuShare, tracked.entry.name}] = &tracked.entry;
 }
 
 void NodeDirectory::withdraw(const std::string &key, TimePoint now)
@@ -81,7 +80,7 @@
     if (domain == m_domains.end()) {
         return;
     }
-    const auto it = domain->second.find({entry.processors, entry.name});
+    const auto it = domain->second.find({entry.cpuShare, entry.name});
     if (it != domain->second.end() && it->second == &entry) {
         domain->second.erase(it);
     }
@@ -93,13 +92,13 @@
     std::vector<std::string> addresses;
     for (const auto &[key, tracked] : m_nodes) {
         if (tracked.entry.name != m_self.name && isRetained(tracked, now)) {
-            addresses.push_back(tracked.entry.callers);
+            addresses.push_back(tracked.entry.callerAddress);
         }
     }
     TurnRandom random(entropy);
     std::shuffle(addresses.begin(), addresses.end(), random);
     if (!m_isLeaving || addresses.empty()) {
-        addresses.insert(addresses.begin(), m_self.callers);
+        addresses.insert(addresses.begin(), m_self.callerAddress);
     }
     if (addresses.size() > maxCount) {
         addresses.resize(maxCount);
--- a/src/fleet/nodedirectory.h
+++ b/src/fleet/nodedirectory.h
@@ -17,11 +17,11 @@
 {
     NodeName name;
     DomainName domain;
-    std::string callers;         ///< "IP:port" for callers.
-    std::string control;         ///< "IP:port" for other nodes.
-    std::string scheduling = {}; ///< "IP:port" (UDP) for claims on engines; empty if none.
+    std::string callerAddress;          ///< "IP:port" for callers.
+    std::string controlAddress;         ///< "IP:port" for other nodes.
+    std::string schedulingAddress = {}; ///< "IP:port" (UDP) for claims on engines; empty if none.
     /** CPU share of the VM; the node with the largest share schedules the engines. */
-    double processors = 0;
+    double cpuShare = 0;
     // Store revisions, not part of the encoded entry.
     /** Revision since which the entry has existed continuously, across process restarts. */
     std::uint64_t announcedSince = 0;
@@ -39,7 +39,7 @@
  */
 struct NodeRank
 {
-    double processors = 0;
+    double cpuShare = 0;
     NodeName name;
     bool operator<(const NodeRank &other) const;
 };
--- a/src/fleet/upstreamchoice.cpp
+++ b/src/fleet/upstreamchoice.cpp
@@ -41,9 +41,9 @@
 } // namespace
 
 UpstreamChoice::UpstreamChoice(NodeEntry self, std::uint64_t spread)
-    : m_rank {self.processors, std::move(self.name)}
+    : m_rank {self.cpuShare, std::move(self.name)}
     , m_domain(std::move(self.domain))
-    , m_controlAddress(std::move(self.control))
+    , m_controlAddress(std::move(self.controlAddress))
     , m_roundRobinIndex(spread)
     , m_snapshotTimeout(MinSnapshotTimeout
                         + Duration(static_cast<Duration::rep>(
@@ -148,7 +148,7 @@
         if (!(rank < m_rank)) {
             break;
         }
-        if (!isBackedOff(node->control, now)) {
+        if (!isBackedOff(node->controlAddress, now)) {
             candidates.push_back(node);
         }
     }
@@ -159,7 +159,7 @@
     for (std::uint32_t step = 1; step < m_peerFailures && parent > 0; ++step) {
         parent = (parent - 1) / MaxChildren;
     }
-    return candidates[parent]->control;
+    return candidates[parent]->controlAddress;
 }
 
 bool UpstreamChoice::hasBusyPeer(TimePoint now) const
@@ -208,7 +208,7 @@
     std::vector<std::string> addresses;
     for (const NodeEntry *member : roster.members()) {
         if (member->name != m_rank.name) {
-            addresses.push_back(member->control);
+            addresses.push_back(member->controlAddress);
         }
     }
     addresses.insert(addresses.end(), seeds.begin(), seeds.end());
--- a/src/scheduling/schedulerchoice.cpp
+++ b/src/scheduling/schedulerchoice.cpp
@@ -8,12 +8,12 @@
 {
     const NodeEntry *chosen = nullptr;
     for (const NodeEntry *member : members) {
-        if (member->scheduling.empty()) {
+        if (member->schedulingAddress.empty()) {
             continue;
         }
         const auto rank = [](const NodeEntry &node) {
             return std::tuple<double, std::uint64_t, const NodeName &>(
-                -node.processors, node.announcedSince, node.name);
+                -node.cpuShare, node.announcedSince, node.name);
         };
         chosen = !chosen || rank(*member) < rank(*chosen) ? member : chosen;
     }
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -153,14 +153,15 @@
             NodeEntry entry;
             entry.name = NodeName("n" + std::to_string(1'000 + i));
             entry.domain = DomainName(std::to_string(i % Domains));
-            entry.control = entry.name.text() + ":1";
-            entry.callers = entry.name.text() + ":2";
-            entry.processors = i < 2 * Domains ? 0.5 : 0.12;
+            entry.controlAddress = entry.name.text() + ":1";
+            entry.callerAddress = entry.name.text() + ":2";
+            entry.cpuShare = i < 2 * Domains ? 0.5 : 0.12;
             const bool isSeed = i < 3;
             if (isSeed) {
-                seeds.push_back(entry.control);
+                seeds.push_back(entry.controlAddress);
             }
-            m_nodes[entry.control] = std::make_unique<CopyingNode>(*this, entry, random(), isSeed);
+            m_nodes[entry.controlAddress] =
+                std::make_unique<CopyingNode>(*this, entry, random(), isSeed);
         }
         for (auto &[control, node] : m_nodes) {
             time.after(std::chrono::milliseconds(random() % 300), [&node] { node->start(); });
@@ -278,7 +279,7 @@
     };
     m_fleet.time.after(PeerTakes, [this, upstream, revision, exchange] {
         if (CopyingNode *peer = m_fleet.find(*upstream.peer)) {
-            peer->take(exchange, revision, m_entry.control);
+            peer->take(exchange, revision, m_entry.controlAddress);
         }
     });
     m_fleet.time.after(CopyTimeout, [this, upstream, exchange] {
--- a/tests/fleet/nodedirectorytest.cpp
+++ b/tests/fleet/nodedirectorytest.cpp
@@ -110,12 +110,12 @@
     {
         NodeDirectory roster(node("self"));
         NodeEntry large = node("z");
-        large.processors = 0.5;
+        large.cpuShare = 0.5;
         roster.announce("k/z", large);
         roster.announce("k/b", node("b"));
         const RankedNodes &ranked = roster.nodesInDomain(DomainName("d"));
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("z"));
-        large.processors = 0;
+        large.cpuShare = 0;
         roster.announce("k/z", large);
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("b"));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
--- a/tests/fleet/upstreamchoicetest.cpp
+++ b/tests/fleet/upstreamchoicetest.cpp
@@ -119,7 +119,7 @@
     {
         auto members = fleet(5);
         for (NodeEntry &member : members) {
-            member.processors = member.name.text().ends_with("4") ? 0.5 : 0.12;
+            member.cpuShare = member.name.text().ends_with("4") ? 0.5 : 0.12;
         }
         UpstreamChoice choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("b4:2"), chosen(choice, 0, members));
@@ -148,7 +148,8 @@
         std::map<std::string, std::string> parents;
         for (const NodeEntry &member : members) {
             UpstreamChoice choice(member, 0);
-            parents[member.control] = choice.choose(at(0), roster, {}).peer.value_or("store");
+            parents[member.controlAddress] =
+                choice.choose(at(0), roster, {}).peer.value_or("store");
         }
         for (const auto &[control, first] : parents) {
             std::size_t steps = 1;
--- a/tests/scheduling/schedulerchoicetest.cpp
+++ b/tests/scheduling/schedulerchoicetest.cpp
@@ -11,8 +11,8 @@
 {
     NodeEntry entry;
     entry.name = NodeName(name);
-    entry.processors = processors;
-    entry.scheduling = address;
+    entry.cpuShare = processors;
+    entry.schedulingAddress = address;
     return entry;
 }
 
