--- a/src/dispatch/crashwatch.cpp
+++ b/src/dispatch/crashwatch.cpp
@@ -7,7 +7,8 @@
 void CrashWatch::connectionLost(Step &step, const OpenCall &call, const OpenRequest &request)
 {
     const ServerName &server = call.server.name;
-    const bool isLeaving = m_state.servers.standing(server, step.now) == Standing::Leaving;
+    const bool isLeaving =
+        m_state.servers.availability(server, step.now) == ServerAvailability::Leaving;
     if (isLeaving) {
         return; // Its end was announced, and says nothing of its work.
     }
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -246,7 +246,8 @@
         m_phases.learn(request->service->name, *granted->work);
     }
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
-    if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
+    if (!server
+        || m_state.servers.availability(server->name, step.now) == ServerAvailability::Leaving) {
         // What this node knows of the servers is newer.
         m_claims.end(step, *request, scheduling::ClaimEnd::Dropped);
         request->tried.insert(granted->decodeServer);
@@ -352,7 +353,7 @@
     const ServerName planned = std::exchange(request.plannedPrefill, {});
     const AnnouncedServer *server = m_state.servers.find(planned);
     const bool isUsable = server && !request.tried.contains(planned)
-        && m_state.servers.standing(planned, step.now) != Standing::Leaving
+        && m_state.servers.availability(planned, step.now) != ServerAvailability::Leaving
         && !m_placement.isBadSource(planned, step.now);
     return isUsable ? server : nullptr;
 }
@@ -386,7 +387,8 @@
 void GenerationFlow::decode(Step &step, OpenRequest &request, bool isWhole)
 {
     const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
-    if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
+    if (!server
+        || m_state.servers.availability(server->name, step.now) == ServerAvailability::Leaving) {
         request.tried.insert(request.decodeServer);
         giveBack(step, request, ClaimEnd::Dropped);
         enqueue(step, request);
--- a/src/fleet/serverdirectory.cpp
+++ b/src/fleet/serverdirectory.cpp
@@ -93,7 +93,7 @@
         return;
     }
     for (const auto &[name, entry] : servers->second) {
-        if (standingOf(*entry, now) == Standing::Usable && !visitor(entry->server)) {
+        if (availabilityOf(*entry, now) == ServerAvailability::Usable && !visitor(entry->server)) {
             return;
         }
     }
@@ -129,10 +129,10 @@
     return it == m_entries.end() ? nullptr : &it->second.server;
 }
 
-Standing ServerDirectory::standing(const ServerName &name, TimePoint now) const
+ServerAvailability ServerDirectory::availability(const ServerName &name, TimePoint now) const
 {
     const auto it = m_entries.find(name);
-    return it == m_entries.end() ? Standing::Leaving : standingOf(it->second, now);
+    return it == m_entries.end() ? ServerAvailability::Leaving : availabilityOf(it->second, now);
 }
 
 std::vector<const AnnouncedServer *>
@@ -148,10 +148,10 @@
         if (entry->server.phase != phase) {
             continue;
         }
-        const Standing standing = standingOf(*entry, now);
-        if (standing == Standing::Usable) {
+        const ServerAvailability standing = availabilityOf(*entry, now);
+        if (standing == ServerAvailability::Usable) {
             usable.push_back(&entry->server);
-        } else if (standing == Standing::LastResort) {
+        } else if (standing == ServerAvailability::LastResort) {
             lastResorts.push_back(&entry->server);
         }
     }
@@ -167,15 +167,16 @@
     return names;
 }
 
-Standing ServerDirectory::standingOf(const Entry &entry, TimePoint now)
+ServerAvailability ServerDirectory::availabilityOf(const Entry &entry, TimePoint now)
 {
     if (entry.server.isDraining) {
-        return Standing::Leaving;
+        return ServerAvailability::Leaving;
     }
     if (!entry.withdrawnAt) {
-        return Standing::Usable;
+        return ServerAvailability::Usable;
     }
-    return now < *entry.withdrawnAt + LastResortTime ? Standing::LastResort : Standing::Leaving;
+    return now < *entry.withdrawnAt + LastResortTime ? ServerAvailability::LastResort
+                                                     : ServerAvailability::Leaving;
 }
 
 } // namespace indigoway
--- a/src/fleet/serverdirectory.h
+++ b/src/fleet/serverdirectory.h
@@ -11,7 +11,7 @@
 namespace indigoway {
 
 /** Whether an announced server may be given requests. */
-enum class Standing {
+enum class ServerAvailability {
     Usable,
     /**
      * Its entry was removed recently; its lease may have expired while the store was unreachable.
@@ -52,7 +52,7 @@
     ServerName nameOf(const std::string &instance) const;
     /** Returns the server, or null if unknown. */
     const AnnouncedServer *find(const ServerName &name) const;
-    Standing standing(const ServerName &name, TimePoint now) const;
+    ServerAvailability availability(const ServerName &name, TimePoint now) const;
     /**
      * Returns the servers of @p service that may get new requests, ordered by name; only if there
      * are none, the last resorts.
@@ -79,7 +79,7 @@
     };
 
     std::map<ServerName, Entry>::iterator erase(std::map<ServerName, Entry>::iterator it);
-    static Standing standingOf(const Entry &entry, TimePoint now);
+    static ServerAvailability availabilityOf(const Entry &entry, TimePoint now);
     void removeFromIndexes(const AnnouncedServer &server);
 
     struct WithdrawnEntry
--- a/tests/fleet/serverdirectorytest.cpp
+++ b/tests/fleet/serverdirectorytest.cpp
@@ -52,7 +52,8 @@
         leaving.isDraining = true;
         directory.announce(leaving);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(0)));
-        CPPUNIT_ASSERT(directory.standing(ServerName("b"), at(0)) == Standing::Leaving);
+        CPPUNIT_ASSERT(directory.availability(ServerName("b"), at(0))
+                       == ServerAvailability::Leaving);
     }
 
     // Guards against requests to the earlier incarnation of a server, kept as a last resort, after
@@ -69,7 +70,8 @@
         second.instance = "a";
         CPPUNIT_ASSERT(directory.announce(second) == ServerName("a@1"));
         CPPUNIT_ASSERT_EQUAL(std::string("a@2"), candidates(directory, at(10)));
-        CPPUNIT_ASSERT(directory.standing(ServerName("a@1"), at(10)) == Standing::Leaving);
+        CPPUNIT_ASSERT(directory.availability(ServerName("a@1"), at(10))
+                       == ServerAvailability::Leaving);
         CPPUNIT_ASSERT(directory.nameOf("a") == ServerName("a@2"));
     }
 
