--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -123,9 +123,9 @@
     }
     const NodeDirectory &roster = m_wiring.roster();
     const bool isLongListing =
-        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamSelector::MaxStorePages;
     const std::optional<Upstream> upstream = isLongListing
-        ? m_choice.chooseForFirstCopy(now, roster, m_wiring.seeds(), m_wiring.isSeed())
+        ? m_choice.chooseForSnapshot(now, roster, m_wiring.seeds(), m_wiring.isSeed())
         : m_choice.choose(now, roster, m_wiring.seeds());
     if (!upstream) {
         return;
@@ -222,7 +222,7 @@
     m_mirror.completePeerCall();
     if (!m_mirror.isLoaded()) {
         // Not at fault, and not of use yet.
-        m_choice.referred(present(), upstream, answer.elsewhere);
+        m_choice.handleReferral(present(), upstream, answer.elsewhere);
         pumpMirror();
         return;
     }
@@ -245,7 +245,7 @@
 
 void StateSync::succeeded(const Upstream &upstream)
 {
-    m_choice.succeeded(upstream);
+    m_choice.reportSuccess(upstream);
     m_proof.copyAdvanced(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
@@ -261,9 +261,9 @@
 {
     m_mirror.callFailed(present(), fault);
     if (fault == StoreError::HistoryGone) {
-        m_choice.succeeded(upstream);
+        m_choice.reportSuccess(upstream);
     } else {
-        m_choice.failed(present(), upstream);
+        m_choice.reportFailure(present(), upstream);
         if (std::exchange(m_isCurrent, false)) {
             m_lookingElsewhereUntil = present() + LooksElsewhereFor;
         }
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -2,7 +2,7 @@
 
 #include "edge/newsanswers.h"
 #include "edge/storerecords.h"
-#include "fleet/upstreamchoice.h"
+#include "fleet/upstreamselector.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
@@ -92,7 +92,7 @@
     TimePoint m_proofWantedAt {};
     bool m_isProving = false;  ///< The store is being asked.
     BootTime m_listAskedAt {}; ///< For the first page of the listing that is under way.
-    UpstreamChoice m_choice;
+    UpstreamSelector m_choice;
     StoreCalls m_calls;
     StoreRecords m_records;
     bool m_isCurrent = false; ///< The last call succeeded.
--- a/src/fleet/upstreamchoice.cpp
+++ b/src/fleet/upstreamselector.cpp
@@ -1,4 +1,4 @@
-#include "upstreamchoice.h"
+#include "upstreamselector.h"
 
 #include <algorithm>
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-UpstreamChoice::UpstreamChoice(NodeEntry self, std::uint64_t spread)
+UpstreamSelector::UpstreamSelector(NodeEntry self, std::uint64_t spread)
     : m_rank {self.cpuShare, std::move(self.name)}
     , m_domain(std::move(self.domain))
     , m_controlAddress(std::move(self.controlAddress))
@@ -50,8 +50,8 @@
                             spread % static_cast<std::uint64_t>(SnapshotTimeoutJitter.count()))))
 { }
 
-Upstream UpstreamChoice::choose(TimePoint now, const NodeDirectory &roster,
-                                const std::vector<std::string> &seeds)
+Upstream UpstreamSelector::choose(TimePoint now, const NodeDirectory &roster,
+                                  const std::vector<std::string> &seeds)
 {
     m_snapshotWantedSince.reset();
     if (const auto parent = parentNode(now, roster)) {
@@ -67,10 +67,10 @@
     return chooseStore(now);
 }
 
-std::optional<Upstream> UpstreamChoice::chooseForFirstCopy(TimePoint now,
-                                                           const NodeDirectory &roster,
-                                                           const std::vector<std::string> &seeds,
-                                                           bool isSeed)
+std::optional<Upstream> UpstreamSelector::chooseForSnapshot(TimePoint now,
+                                                            const NodeDirectory &roster,
+                                                            const std::vector<std::string> &seeds,
+                                                            bool isSeed)
 {
     if (!m_snapshotWantedSince) {
         m_snapshotWantedSince = now;
@@ -95,8 +95,8 @@
     return chooseStore(now);
 }
 
-void UpstreamChoice::referred(TimePoint now, const Upstream &busy,
-                              const std::vector<std::string> &others)
+void UpstreamSelector::handleReferral(TimePoint now, const Upstream &busy,
+                                      const std::vector<std::string> &others)
 {
     if (busy.peer) {
         m_peerBackoffs[*busy.peer] = {now + BusyPeerBackoff, 0};
@@ -109,13 +109,13 @@
     }
 }
 
-bool UpstreamChoice::isWatcher(const NodeDirectory &roster) const
+bool UpstreamSelector::isWatcher(const NodeDirectory &roster) const
 {
     const RankedNodes &nodes = roster.nodesInDomain(m_domain);
     return !nodes.empty() && nodes.begin()->first.name == m_rank.name;
 }
 
-void UpstreamChoice::succeeded(const Upstream &upstream)
+void UpstreamSelector::reportSuccess(const Upstream &upstream)
 {
     if (upstream.peer) {
         m_peerBackoffs.erase(*upstream.peer);
@@ -125,7 +125,7 @@
     }
 }
 
-void UpstreamChoice::failed(TimePoint now, const Upstream &upstream)
+void UpstreamSelector::reportFailure(TimePoint now, const Upstream &upstream)
 {
     if (upstream.peer) {
         std::erase_if(m_peerBackoffs,
@@ -140,8 +140,8 @@
     }
 }
 
-std::optional<std::string> UpstreamChoice::parentNode(TimePoint now,
-                                                      const NodeDirectory &roster) const
+std::optional<std::string> UpstreamSelector::parentNode(TimePoint now,
+                                                        const NodeDirectory &roster) const
 {
     std::vector<const NodeEntry *> candidates;
     for (const auto &[rank, node] : roster.nodesInDomain(m_domain)) {
@@ -162,31 +162,31 @@
     return candidates[parent]->controlAddress;
 }
 
-bool UpstreamChoice::hasBusyPeer(TimePoint now) const
+bool UpstreamSelector::hasBusyPeer(TimePoint now) const
 {
     return std::ranges::any_of(m_peerBackoffs, [now](const auto &one) {
         return now < one.second.until && one.second.failures == 0;
     });
 }
 
-bool UpstreamChoice::isHighestRanked(const NodeDirectory &roster) const
+bool UpstreamSelector::isHighestRanked(const NodeDirectory &roster) const
 {
     const RankedNodes &nodes = roster.nodesInDomain(m_domain);
     return nodes.empty() || !(nodes.begin()->first < m_rank);
 }
 
-bool UpstreamChoice::mayCallStore(TimePoint now, bool isDomainWatcher) const
+bool UpstreamSelector::mayCallStore(TimePoint now, bool isDomainWatcher) const
 {
     return m_storeFailures == 0 || now >= m_storeCalledAt + storeRetryInterval(isDomainWatcher);
 }
 
-Upstream UpstreamChoice::chooseStore(TimePoint now)
+Upstream UpstreamSelector::chooseStore(TimePoint now)
 {
     m_storeCalledAt = now;
     return {std::nullopt, m_storeFailures > 0};
 }
 
-Duration UpstreamChoice::storeRetryInterval(bool isDomainWatcher) const
+Duration UpstreamSelector::storeRetryInterval(bool isDomainWatcher) const
 {
     if (isDomainWatcher && m_storeFailures == 1) {
         return FirstWatcherRetryDelay;
@@ -196,14 +196,14 @@
                            : std::min(StoreRetryInterval * (1 << doublings), MaxStoreRetryInterval);
 }
 
-bool UpstreamChoice::isBackedOff(const std::string &address, TimePoint now) const
+bool UpstreamSelector::isBackedOff(const std::string &address, TimePoint now) const
 {
     const auto it = m_peerBackoffs.find(address);
     return it != m_peerBackoffs.end() && now < it->second.until;
 }
 
-std::optional<Upstream> UpstreamChoice::chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
-                                                      const std::vector<std::string> &seeds)
+std::optional<Upstream> UpstreamSelector::chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
+                                                        const std::vector<std::string> &seeds)
 {
     std::vector<std::string> addresses;
     for (const NodeEntry *member : roster.members()) {
@@ -215,8 +215,8 @@
     return chooseNextOf(now, addresses);
 }
 
-std::optional<Upstream> UpstreamChoice::chooseNextOf(TimePoint now,
-                                                     const std::vector<std::string> &addresses)
+std::optional<Upstream> UpstreamSelector::chooseNextOf(TimePoint now,
+                                                       const std::vector<std::string> &addresses)
 {
     std::vector<const std::string *> usable;
     for (const std::string &address : addresses) {
--- a/src/fleet/upstreamchoice.h
+++ b/src/fleet/upstreamselector.h
@@ -30,7 +30,7 @@
  * Nodes that are gone, unresponsive or cut off from the store are left out by each node that has
  * detected this.
  */
-class UpstreamChoice
+class UpstreamSelector
 {
 public:
     /** The maximum number of children of a node. */
@@ -40,14 +40,14 @@
      * listings come from other nodes, so that hundreds of nodes do not list the store at once when
      * the whole fleet restarts.
      */
-    static constexpr std::size_t MostOwnPages = 2;
+    static constexpr std::size_t MaxStorePages = 2;
 
     /**
      * @param self this node's entry
      * @param spread a number that differs between nodes, so that they do not all choose the same
      *     peer
      */
-    UpstreamChoice(NodeEntry self, std::uint64_t spread);
+    UpstreamSelector(NodeEntry self, std::uint64_t spread);
 
     /**
      * Chooses the upstream for changes.
@@ -62,14 +62,15 @@
      *     first
      * @return nothing if the peers are busy and should be asked again later
      */
-    std::optional<Upstream> chooseForFirstCopy(TimePoint now, const NodeDirectory &roster,
-                                               const std::vector<std::string> &seeds, bool isSeed);
+    std::optional<Upstream> chooseForSnapshot(TimePoint now, const NodeDirectory &roster,
+                                              const std::vector<std::string> &seeds, bool isSeed);
     /** Handles a peer that is too busy to send a snapshot and names @p others that may have one. */
-    void referred(TimePoint now, const Upstream &busy, const std::vector<std::string> &others);
+    void handleReferral(TimePoint now, const Upstream &busy,
+                        const std::vector<std::string> &others);
     /** Returns true if this node is its domain's watcher; false while it has no entry itself. */
     bool isWatcher(const NodeDirectory &roster) const;
-    void succeeded(const Upstream &upstream);
-    void failed(TimePoint now, const Upstream &upstream);
+    void reportSuccess(const Upstream &upstream);
+    void reportFailure(TimePoint now, const Upstream &upstream);
 
 private:
     struct PeerBackoff
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -1,6 +1,6 @@
 #include "edge/newsanswers.h"
 #include "fleet/nodedirectory.h"
-#include "fleet/upstreamchoice.h"
+#include "fleet/upstreamselector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -130,7 +130,7 @@
     Mirror m_mirror;
     StalenessBound m_proof;
     NewsAnswers m_answers;
-    UpstreamChoice m_choice;
+    UpstreamSelector m_choice;
     bool m_isAlive = true;
     bool m_isCurrent = false;
     TimePoint m_linkFreeAt {};
@@ -242,9 +242,9 @@
         return;
     }
     const bool isLong =
-        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamSelector::MaxStorePages;
     const auto upstream = isLong
-        ? m_choice.chooseForFirstCopy(now, m_roster, m_fleet.seeds, m_isSeed)
+        ? m_choice.chooseForSnapshot(now, m_roster, m_fleet.seeds, m_isSeed)
         : m_choice.choose(now, m_roster, m_fleet.seeds);
     if (!upstream) {
         return;
@@ -332,7 +332,7 @@
     }
     m_mirror.completePeerCall();
     if (!m_mirror.isLoaded()) {
-        m_choice.referred(m_fleet.time.now(), upstream, answer->elsewhere);
+        m_choice.handleReferral(m_fleet.time.now(), upstream, answer->elsewhere);
         ask();
         return;
     }
@@ -341,7 +341,7 @@
 
 void CopyingNode::succeeded(const Upstream &upstream)
 {
-    m_choice.succeeded(upstream);
+    m_choice.reportSuccess(upstream);
     m_isCurrent = true;
     tellOthers();
     ask();
@@ -350,7 +350,7 @@
 void CopyingNode::failed(const Upstream &upstream)
 {
     m_mirror.callFailed(m_fleet.time.now(), StoreError::Unanswered);
-    m_choice.failed(m_fleet.time.now(), upstream);
+    m_choice.reportFailure(m_fleet.time.now(), upstream);
     m_isCurrent = false;
 }
 
--- a/tests/fleet/upstreamchoicetest.cpp
+++ b/tests/fleet/upstreamselectortest.cpp
@@ -1,4 +1,4 @@
-#include "fleet/upstreamchoice.h"
+#include "fleet/upstreamselector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -31,9 +31,9 @@
     return nodes;
 }
 
-UpstreamChoice choiceOf(const std::string &name)
+UpstreamSelector choiceOf(const std::string &name)
 {
-    return UpstreamChoice(node(name, name.substr(0, 1)), 0);
+    return UpstreamSelector(node(name, name.substr(0, 1)), 0);
 }
 
 NodeDirectory rosterOf(const std::vector<NodeEntry> &members)
@@ -45,19 +45,19 @@
     return roster;
 }
 
-std::string chosen(UpstreamChoice &choice, int milliseconds,
+std::string chosen(UpstreamSelector &choice, int milliseconds,
                    const std::vector<NodeEntry> &members = fleet(3),
                    const std::vector<std::string> &seeds = {})
 {
     return choice.choose(at(milliseconds), rosterOf(members), seeds).peer.value_or("store");
 }
 
-std::string chosenForFirstCopy(UpstreamChoice &choice, int milliseconds,
+std::string chosenForFirstCopy(UpstreamSelector &choice, int milliseconds,
                                const std::vector<NodeEntry> &members,
                                const std::vector<std::string> &seeds, bool isSeed = false)
 {
     const auto upstream =
-        choice.chooseForFirstCopy(at(milliseconds), rosterOf(members), seeds, isSeed);
+        choice.chooseForSnapshot(at(milliseconds), rosterOf(members), seeds, isSeed);
     return upstream ? upstream->peer.value_or("store") : "nobody";
 }
 
@@ -67,7 +67,7 @@
     std::map<std::string, std::size_t> followers;
     const NodeDirectory roster = rosterOf(members);
     for (const NodeEntry &member : members) {
-        UpstreamChoice choice(member, 0);
+        UpstreamSelector choice(member, 0);
         ++followers[choice.choose(at(0), roster, {}).peer.value_or("store")];
     }
     return followers;
@@ -75,9 +75,9 @@
 
 } // namespace
 
-class UpstreamChoiceTest : public CppUnit::TestFixture
+class UpstreamSelectorTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(UpstreamChoiceTest);
+    CPPUNIT_TEST_SUITE(UpstreamSelectorTest);
     CPPUNIT_TEST(oneNodePerDomainFollowsStore);
     CPPUNIT_TEST(largestNodeIsWatcher);
     CPPUNIT_TEST(childrenAreBounded);
@@ -104,13 +104,13 @@
         const auto members = fleet(22);
         std::set<std::string> watchers;
         for (const NodeEntry &member : members) {
-            UpstreamChoice choice(member, 0);
+            UpstreamSelector choice(member, 0);
             if (chosen(choice, 0, members) == "store") {
                 watchers.insert(member.name.text());
             }
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, watchers.size());
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 0, members));
     }
 
@@ -121,9 +121,9 @@
         for (NodeEntry &member : members) {
             member.cpuShare = member.name.text().ends_with("4") ? 0.5 : 0.12;
         }
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("b4:2"), chosen(choice, 0, members));
-        UpstreamChoice watcher(members.at(8), 0);
+        UpstreamSelector watcher(members.at(8), 0);
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(watcher, 0, members));
     }
 
@@ -147,7 +147,7 @@
         const NodeDirectory roster = rosterOf(members);
         std::map<std::string, std::string> parents;
         for (const NodeEntry &member : members) {
-            UpstreamChoice choice(member, 0);
+            UpstreamSelector choice(member, 0);
             parents[member.controlAddress] =
                 choice.choose(at(0), roster, {}).peer.value_or("store");
         }
@@ -166,7 +166,7 @@
     {
         const auto members = fleet(200);
         const NodeDirectory roster = rosterOf(members);
-        UpstreamChoice choice(members.at(199), 0);
+        UpstreamSelector choice(members.at(199), 0);
         int asked = 0;
         for (int time = 0; time < 1'000; time += 10) {
             const Upstream upstream = choice.choose(at(time), roster, {});
@@ -174,7 +174,7 @@
             if (!upstream.peer || *upstream.peer == "a1:2") {
                 break;
             }
-            choice.failed(at(time), upstream);
+            choice.reportFailure(at(time), upstream);
         }
         CPPUNIT_ASSERT(asked <= 3);
     }
@@ -182,22 +182,22 @@
     /** Guards against a delay for a whole domain after a single broken watch. */
     void watcherRetriesSoon()
     {
-        UpstreamChoice choice = choiceOf("a1");
-        choice.failed(at(0), {std::nullopt, false});
+        UpstreamSelector choice = choiceOf("a1");
+        choice.reportFailure(at(0), {std::nullopt, false});
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 110));
-        choice.failed(at(120), {std::nullopt, true});
+        choice.reportFailure(at(120), {std::nullopt, true});
         CPPUNIT_ASSERT(chosen(choice, 300) != "store");
     }
 
     /** Guards against frequent calls to a node that is lost for good. */
     void backsOffFromLostNode()
     {
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         int asked = 0;
         for (int time = 0; time < 30'000; time += 50) {
             if (chosen(choice, time) == "b1:2") {
                 ++asked;
-                choice.failed(at(time), {"b1:2", false});
+                choice.reportFailure(at(time), {"b1:2", false});
             }
         }
         CPPUNIT_ASSERT(asked <= 4);
@@ -205,7 +205,7 @@
 
     void newNodeCallsStore()
     {
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {}));
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {node("a1", "a")}));
     }
@@ -216,12 +216,12 @@
     void onlySeedsListStoreAtOnce()
     {
         const std::vector<std::string> seeds {"a1:2", "b1:2"};
-        UpstreamChoice seed = choiceOf("b1");
+        UpstreamSelector seed = choiceOf("b1");
         CPPUNIT_ASSERT_EQUAL(std::string("store"),
                              chosenForFirstCopy(seed, 0, fleet(3), seeds, true));
         std::map<std::string, int> followers;
         for (std::uint64_t spread = 0; spread < 100; ++spread) {
-            UpstreamChoice choice(node("b2", "b"), spread);
+            UpstreamSelector choice(node("b2", "b"), spread);
             ++followers[chosenForFirstCopy(choice, 0, {}, seeds)];
         }
         CPPUNIT_ASSERT_EQUAL(50, followers["a1:2"]);
@@ -233,7 +233,7 @@
     {
         std::set<std::string> late;
         for (std::uint64_t spread = 0; spread < 10; ++spread) {
-            UpstreamChoice choice(node("b2", "b"), spread * 500'000);
+            UpstreamSelector choice(node("b2", "b"), spread * 500'000);
             chosenForFirstCopy(choice, 0, fleet(3), {"a1:2"});
             CPPUNIT_ASSERT(chosenForFirstCopy(choice, 4'900, fleet(3), {"a1:2"}) != "store");
             late.insert(chosenForFirstCopy(choice, 7'500, fleet(3), {"a1:2"}) == "store" ? "store"
@@ -247,24 +247,24 @@
     /** Guards against listing the store because the nodes that have a copy are busy for now. */
     void followsReferrals()
     {
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 0, {}, {"a1:2"}));
-        choice.referred(at(10), {"a1:2", false}, {"b2:2", "c7:2"});
+        choice.handleReferral(at(10), {"a1:2", false}, {"b2:2", "c7:2"});
         CPPUNIT_ASSERT_EQUAL(std::string("c7:2"), chosenForFirstCopy(choice, 20, {}, {"a1:2"}));
         CPPUNIT_ASSERT_EQUAL(std::string("nobody"), chosenForFirstCopy(choice, 30, {}, {"a1:2"}));
         CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 400, {}, {"a1:2"}));
         // An unreachable peer is no reason to wait.
-        choice.failed(at(410), {"a1:2", false});
+        choice.reportFailure(at(410), {"a1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosenForFirstCopy(choice, 420, {}, {"a1:2"}));
     }
 
     // Guards against a new node without any state if the store refuses its calls.
     void nodeWithoutRosterFallsBackToSeeds()
     {
-        UpstreamChoice choice = choiceOf("b2");
+        UpstreamSelector choice = choiceOf("b2");
         const Upstream first = choice.choose(at(0), rosterOf({}), {"a1:2"});
         CPPUNIT_ASSERT(!first.peer);
-        choice.failed(at(10), first);
+        choice.reportFailure(at(10), first);
         CPPUNIT_ASSERT(choice.choose(at(20), rosterOf({}), {"a1:2"}).peer.has_value());
         CPPUNIT_ASSERT(!choice.choose(at(2'000), rosterOf({}), {"a1:2"}).peer);
     }
@@ -273,13 +273,13 @@
     // expires.
     void deadWatcherIsReplaced()
     {
-        UpstreamChoice choice = choiceOf("b2");
-        choice.failed(at(0), {"b1:2", false});
+        UpstreamSelector choice = choiceOf("b2");
+        choice.reportFailure(at(0), {"b1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 10));
         CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 5'000));
         // The next node in rank becomes the watcher; the others follow it.
-        UpstreamChoice third = choiceOf("b3");
-        third.failed(at(0), {"b1:2", false});
+        UpstreamSelector third = choiceOf("b3");
+        third.reportFailure(at(0), {"b1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("b2:2"), chosen(third, 10));
     }
 
@@ -287,11 +287,11 @@
     // only these.
     void triesStoreBeforeOtherWatchers()
     {
-        UpstreamChoice choice = choiceOf("b2");
-        choice.failed(at(0), {"b1:2", false});
+        UpstreamSelector choice = choiceOf("b2");
+        choice.reportFailure(at(0), {"b1:2", false});
         const Upstream store = choice.choose(at(10), rosterOf(fleet(3)), {});
         CPPUNIT_ASSERT(!store.peer && !store.isProbe);
-        choice.failed(at(20), store);
+        choice.reportFailure(at(20), store);
         CPPUNIT_ASSERT(chosen(choice, 30) != "store");
         CPPUNIT_ASSERT(chosen(choice, 40) != "b1:2");
     }
@@ -299,15 +299,15 @@
     // Guards against a watcher without changes while the store refuses only its calls.
     void refusedWatcherUsesPeersAndProbesStore()
     {
-        UpstreamChoice choice = choiceOf("a1");
+        UpstreamSelector choice = choiceOf("a1");
         const Upstream first = choice.choose(at(0), rosterOf(fleet(3)), {});
         CPPUNIT_ASSERT(!first.peer && !first.isProbe);
-        choice.failed(at(10), first);
+        choice.reportFailure(at(10), first);
         CPPUNIT_ASSERT(chosen(choice, 20) != "store");
         CPPUNIT_ASSERT_EQUAL(std::string("seed:2"), chosen(choice, 30, {}, {"seed:2"}));
         const Upstream probe = choice.choose(at(2'000), rosterOf(fleet(3)), {});
         CPPUNIT_ASSERT(!probe.peer && probe.isProbe);
-        choice.succeeded(probe);
+        choice.reportSuccess(probe);
         const Upstream again = choice.choose(at(2'010), rosterOf(fleet(3)), {});
         CPPUNIT_ASSERT(!again.peer && !again.isProbe);
     }
@@ -316,13 +316,13 @@
     void onlyWatchersKeepProbingStore()
     {
         const auto probes = [](const std::string &name) {
-            UpstreamChoice choice = choiceOf(name);
+            UpstreamSelector choice = choiceOf(name);
             int asked = 0;
             const NodeDirectory roster = rosterOf(fleet(30));
             for (int time = 0; time < 12'000; time += 100) {
                 const Upstream upstream = choice.choose(at(time), roster, {});
                 asked += upstream.peer ? 0 : 1;
-                choice.failed(at(time), upstream);
+                choice.reportFailure(at(time), upstream);
             }
             return asked;
         };
@@ -332,4 +332,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamChoiceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamSelectorTest);
