--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -233,7 +233,7 @@
     const double units = unitsOf(quota, request.facts);
     quotas::QuotaGate::Messages messages;
     const quotas::QuotaDecision decision =
-        m_quotas.decide(step.now, quotas::QuotaAskId(request.facts.request.value()),
+        m_quotas.decide(step.now, quotas::QuotaQueryId(request.facts.request.value()),
                         request.organisation->name, quota, units, messages);
     tellKeeper(step, std::move(messages));
     switch (decision.kind) {
@@ -310,7 +310,7 @@
         return;
     }
     m_timeouts.clear(event.request);
-    m_quotas.dropQuestion(quotas::QuotaAskId(event.request.value()));
+    m_quotas.dropQuestion(quotas::QuotaQueryId(event.request.value()));
     flowOf(*request).release(step, *request);
     m_state.requests.dropLeft(step, *request);
 }
@@ -407,7 +407,7 @@
 void Dispatcher::timeOut(Step &step, OpenRequest &request)
 {
     const bool mayHaveRun = request.mayHaveRun();
-    m_quotas.dropQuestion(quotas::QuotaAskId(request.facts.request.value()));
+    m_quotas.dropQuestion(quotas::QuotaQueryId(request.facts.request.value()));
     flowOf(request).release(step, request);
     if (request.isForwarding) {
         m_state.requests.breakStream(step, request, "time is up");
@@ -449,7 +449,7 @@
     for (const RequestNumber number : numbers) {
         OpenRequest &request = *m_state.requests.find(number);
         flowOf(request).release(step, request);
-        m_quotas.dropQuestion(quotas::QuotaAskId(number.value()));
+        m_quotas.dropQuestion(quotas::QuotaQueryId(number.value()));
         m_state.requests.refuse(step, request,
                                 {Unauthorized, RequestOutcome::Rejected, std::nullopt,
                                  "its key was taken away while it waited"});
--- a/src/quotas/quotacodec.cpp
+++ b/src/quotas/quotacodec.cpp
@@ -12,15 +12,15 @@
 constexpr double MaxUnits = 1e15;
 constexpr Duration MaxRetryDelay = std::chrono::hours(1);
 
-Json::Value body(const UsageTold &told)
+Json::Value body(const UsageReport &told)
 {
     Json::Value value;
     value["kind"] = "quota_used";
     value["keeper"] = Json::UInt64(told.keeper.value());
     value["sequence"] = Json::UInt64(told.sequence);
-    value["answer"] = told.wantsStanding;
+    value["answer"] = told.wantsScarcity;
     value["used"] = Json::arrayValue;
-    for (const UsedSoFar &used : told.used) {
+    for (const UsageTotal &used : told.used) {
         Json::Value &one = value["used"].append(Json::objectValue);
         one["organisation"] = used.organisation.text();
         one["units"] = used.units;
@@ -28,7 +28,7 @@
     return value;
 }
 
-Json::Value body(const QuotaAsked &asked)
+Json::Value body(const QuotaQuery &asked)
 {
     Json::Value value;
     value["kind"] = "quota_asked";
@@ -38,7 +38,7 @@
     return value;
 }
 
-Json::Value body(const StandingTold &standing)
+Json::Value body(const ScarcityReport &standing)
 {
     Json::Value value;
     value["kind"] = "quota_standing";
@@ -49,7 +49,7 @@
     return value;
 }
 
-Json::Value body(const QuotaAnswered &answered)
+Json::Value body(const QuotaAnswer &answered)
 {
     Json::Value value;
     value["kind"] = "quota_answer";
@@ -75,16 +75,16 @@
 
 std::optional<ToKeeper> readUsage(const Json::Value &value)
 {
-    UsageTold told {Incarnation(numberMember(value, "keeper")),
-                    numberMember(value, "sequence"),
-                    value["answer"].isBool() && value["answer"].asBool(),
-                    {}};
+    UsageReport told {Incarnation(numberMember(value, "keeper")),
+                      numberMember(value, "sequence"),
+                      value["answer"].isBool() && value["answer"].asBool(),
+                      {}};
     if (!value["used"].isArray()) {
         return std::nullopt;
     }
     for (const Json::Value &one : value["used"]) {
-        UsedSoFar used {OrganisationName(stringMember(one, "organisation")),
-                        realMember(one, "units")};
+        UsageTotal used {OrganisationName(stringMember(one, "organisation")),
+                         realMember(one, "units")};
         if (used.organisation.isEmpty() || !isBounded(used.units)) {
             return std::nullopt;
         }
@@ -95,7 +95,7 @@
 
 std::optional<ToKeeper> readAsked(const Json::Value &value)
 {
-    QuotaAsked asked {QuotaAskId(numberMember(value, "ask")),
+    QuotaQuery asked {QuotaQueryId(numberMember(value, "ask")),
                       OrganisationName(stringMember(value, "organisation")),
                       realMember(value, "units")};
     const bool isUsable = !asked.ask.isNone() && !asked.organisation.isEmpty() && asked.units >= 0
@@ -108,7 +108,7 @@
     if (!value["scarce"].isArray()) {
         return std::nullopt;
     }
-    StandingTold standing;
+    ScarcityReport standing;
     for (const Json::Value &name : value["scarce"]) {
         standing.scarce.emplace_back(name.isString() ? name.asString() : std::string());
     }
@@ -117,7 +117,7 @@
 
 std::optional<FromKeeper> readAnswer(const Json::Value &value)
 {
-    const QuotaAskId ask(numberMember(value, "ask"));
+    const QuotaQueryId ask(numberMember(value, "ask"));
     if (ask.isNone() || !value["granted"].isBool() || !value["room_after_us"].isInt64()) {
         return std::nullopt;
     }
@@ -125,7 +125,7 @@
     if (roomAfter < Duration(0) || roomAfter > MaxRetryDelay) {
         return std::nullopt;
     }
-    return QuotaAnswered {ask, value["granted"].asBool(), roomAfter};
+    return QuotaAnswer {ask, value["granted"].asBool(), roomAfter};
 }
 
 template <typename Message>
--- a/src/quotas/quotagate.cpp
+++ b/src/quotas/quotagate.cpp
@@ -44,8 +44,9 @@
     return m_keeper && !m_keeperLife.isNone() && now >= m_keeperBackoffUntil;
 }
 
-QuotaDecision QuotaGate::decide(TimePoint now, QuotaAskId ask, const OrganisationName &organisation,
-                                const Quota &quota, double units, Messages &messages)
+QuotaDecision QuotaGate::decide(TimePoint now, QuotaQueryId ask,
+                                const OrganisationName &organisation, const Quota &quota,
+                                double units, Messages &messages)
 {
     if (!hearsKeeper(now)) {
         QuotaDecision decision;
@@ -62,7 +63,7 @@
     // now.
     m_localBuckets.insert_or_assign(organisation, QuotaBucket(0, now));
     m_pendingQueries[ask] = {organisation, quota, units, now, 1, false};
-    messages.emplace_back(QuotaAsked {ask, organisation, units});
+    messages.emplace_back(QuotaQuery {ask, organisation, units});
     return {QuotaDecision::Kind::Asked, true, Duration(0)};
 }
 
@@ -75,7 +76,7 @@
     reportUsage(organisation, messages);
 }
 
-void QuotaGate::dropQuestion(QuotaAskId ask)
+void QuotaGate::dropQuestion(QuotaQueryId ask)
 {
     const auto it = m_pendingQueries.find(ask);
     if (it != m_pendingQueries.end()) {
@@ -93,12 +94,12 @@
     }
     m_unansweredHeartbeats = 0;
     m_lastMessageAt = now;
-    if (const auto *standing = std::get_if<StandingTold>(&message)) {
+    if (const auto *standing = std::get_if<ScarcityReport>(&message)) {
         m_scarce = {standing->scarce.begin(), standing->scarce.end()};
         m_nextHeartbeatAt = std::max(m_nextHeartbeatAt, now + HeartbeatInterval);
         return std::nullopt;
     }
-    const auto &answer = std::get<QuotaAnswered>(message);
+    const auto &answer = std::get<QuotaAnswer>(message);
     const auto it = m_pendingQueries.find(answer.ask);
     if (it == m_pendingQueries.end()) {
         return std::nullopt;
@@ -133,7 +134,7 @@
         }
         ++query.sendCount;
         query.sentAt = now;
-        messages.emplace_back(QuotaAsked {ask, query.organisation, query.units});
+        messages.emplace_back(QuotaQuery {ask, query.organisation, query.units});
     }
     if (!isKeeperUnreachable) {
         return {};
@@ -193,13 +194,13 @@
 
 void QuotaGate::reportUsage(const OrganisationName &organisation, Messages &messages)
 {
-    messages.emplace_back(UsageTold {
+    messages.emplace_back(UsageReport {
         m_keeperLife, ++m_sequence, false, {{organisation, m_reportedUsage[organisation]}}});
 }
 
 void QuotaGate::sendHeartbeat(TimePoint now, Messages &messages)
 {
-    UsageTold heartbeat {m_keeperLife, ++m_sequence, true, {}};
+    UsageReport heartbeat {m_keeperLife, ++m_sequence, true, {}};
     constexpr std::size_t MaxTotals = 40; // Fits into one datagram.
     for (const auto &[organisation, units] : m_reportedUsage) {
         if (heartbeat.used.size() < MaxTotals) {
--- a/src/quotas/quotagate.h
+++ b/src/quotas/quotagate.h
@@ -38,7 +38,7 @@
 /** The result of a question to the keeper. */
 struct QuotaVerdict
 {
-    QuotaAskId ask;
+    QuotaQueryId ask;
     bool isGranted = false;
     bool isCounted = false; ///< As in QuotaDecision.
     Duration roomAfter {};
@@ -73,12 +73,12 @@
      * @param ask the id of the question if the keeper must be asked
      * @param messages receives the messages for the keeper
      */
-    QuotaDecision decide(TimePoint now, QuotaAskId ask, const OrganisationName &organisation,
+    QuotaDecision decide(TimePoint now, QuotaQueryId ask, const OrganisationName &organisation,
                          const Quota &quota, double units, Messages &messages);
     /** Returns the units of a request that the keeper has counted but that did not run. */
     void giveBack(const OrganisationName &organisation, double units, Messages &messages);
     /** Abandons a question whose caller has left; units granted for it are returned. */
-    void dropQuestion(QuotaAskId ask);
+    void dropQuestion(QuotaQueryId ask);
     /**
      * Handles a message from the keeper.
      * @param life the incarnation of the keeper
@@ -129,7 +129,7 @@
     /** Units reported to the current incarnation of the keeper. */
     std::map<OrganisationName, double> m_reportedUsage;
     std::map<OrganisationName, QuotaBucket> m_localBuckets;
-    std::map<QuotaAskId, PendingQuery> m_pendingQueries;
+    std::map<QuotaQueryId, PendingQuery> m_pendingQueries;
 };
 
 } // namespace indigoway::quotas
--- a/src/quotas/quotakeeper.cpp
+++ b/src/quotas/quotakeeper.cpp
@@ -36,12 +36,12 @@
     updateReachableFraction(now, view);
     const std::size_t scarceBefore = m_scarce.size();
     KeeperReplies replies;
-    if (const auto *asked = std::get_if<QuotaAsked>(&message)) {
+    if (const auto *asked = std::get_if<QuotaQuery>(&message)) {
         replies.push_back({from.node, answer(now, view, state, *asked)});
     } else {
-        const auto &report = std::get<UsageTold>(message);
+        const auto &report = std::get<UsageReport>(message);
         applyReport(now, view, state, report);
-        if (report.wantsStanding) {
+        if (report.wantsScarcity) {
             replies.push_back({from.node, scarcityReport()});
         }
     }
@@ -56,12 +56,12 @@
 }
 
 void QuotaKeeper::applyReport(TimePoint now, const View &view, NodeState &state,
-                              const UsageTold &report)
+                              const UsageReport &report)
 {
     if (report.keeper != m_self) {
         return; // The report is for another keeper or for an earlier incarnation of this one.
     }
-    for (const UsedSoFar &used : report.used) {
+    for (const UsageTotal &used : report.used) {
         const Quota *quota = quotaOf(view.routes, used.organisation);
         ReportedUsage &total = state.used[used.organisation];
         if (!quota || report.sequence <= total.sequence) {
@@ -74,8 +74,8 @@
     }
 }
 
-QuotaAnswered QuotaKeeper::answer(TimePoint now, const View &view, NodeState &state,
-                                  const QuotaAsked &asked)
+QuotaAnswer QuotaKeeper::answer(TimePoint now, const View &view, NodeState &state,
+                                const QuotaQuery &asked)
 {
     std::erase_if(state.recentAnswers,
                   [&](const auto &one) { return now > one.second.at + AnswerRetention; });
@@ -85,13 +85,13 @@
     const Quota *quota = quotaOf(view.routes, asked.organisation);
     // The node has a different version of the configuration; a node asks only for organisations
     // that it knows to have a quota, so granting is safe.
-    const QuotaAnswered result =
-        quota ? decide(now, *quota, asked) : QuotaAnswered {asked.ask, true, Duration(0)};
+    const QuotaAnswer result =
+        quota ? decide(now, *quota, asked) : QuotaAnswer {asked.ask, true, Duration(0)};
     state.recentAnswers.emplace(asked.ask, CachedAnswer {result, now});
     return result;
 }
 
-QuotaAnswered QuotaKeeper::decide(TimePoint now, const Quota &quota, const QuotaAsked &asked)
+QuotaAnswer QuotaKeeper::decide(TimePoint now, const Quota &quota, const QuotaQuery &asked)
 {
     Account &one = account(now, asked.organisation, quota);
     const RateLimit limit = limitOf(quota);
@@ -173,7 +173,7 @@
     std::erase_if(m_accounts, [&](const auto &one) { return isGone(one.first); });
 }
 
-StandingTold QuotaKeeper::scarcityReport() const
+ScarcityReport QuotaKeeper::scarcityReport() const
 {
     return {{m_scarce.begin(), m_scarce.end()}};
 }
--- a/src/quotas/quotakeeper.h
+++ b/src/quotas/quotakeeper.h
@@ -58,7 +58,7 @@
     };
     struct CachedAnswer
     {
-        QuotaAnswered answer;
+        QuotaAnswer answer;
         TimePoint at {};
     };
     /** The state of a node that has sent a message. */
@@ -67,7 +67,7 @@
         Incarnation life;
         TimePoint lastMessageAt {};
         std::map<OrganisationName, ReportedUsage> used;
-        std::map<QuotaAskId, CachedAnswer>
+        std::map<QuotaQueryId, CachedAnswer>
             recentAnswers; ///< Recent answers, for repeated questions.
     };
     /** The usage of an organisation by all nodes. */
@@ -77,10 +77,9 @@
         TimePoint lastRetryAt {}; ///< Latest retry time given to a refused request.
     };
 
-    void applyReport(TimePoint now, const View &view, NodeState &state, const UsageTold &report);
-    QuotaAnswered answer(TimePoint now, const View &view, NodeState &state,
-                         const QuotaAsked &asked);
-    QuotaAnswered decide(TimePoint now, const Quota &quota, const QuotaAsked &asked);
+    void applyReport(TimePoint now, const View &view, NodeState &state, const UsageReport &report);
+    QuotaAnswer answer(TimePoint now, const View &view, NodeState &state, const QuotaQuery &asked);
+    QuotaAnswer decide(TimePoint now, const Quota &quota, const QuotaQuery &asked);
     NodeState &touchNode(TimePoint now, const NodeLife &from);
     void updateReachableFraction(TimePoint now, const View &view);
     Account &account(TimePoint now, const OrganisationName &name, const Quota &quota);
@@ -88,7 +87,7 @@
     /** Updates whether @p name is scarce. */
     void updateScarcity(TimePoint now, const OrganisationName &name, const Quota &quota);
     void updateAllScarcity(TimePoint now, const View &view);
-    StandingTold scarcityReport() const;
+    ScarcityReport scarcityReport() const;
 
     Incarnation m_self;
     std::optional<TimePoint> m_startedAt; ///< Time of the first message.
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -11,10 +11,10 @@
 namespace indigoway::quotas {
 
 /** Identifies a question within one incarnation of a node. */
-using QuotaAskId = Number<struct QuotaAskTag>;
+using QuotaQueryId = Number<struct QuotaQueryTag>;
 
 /** The total usage of an organisation's quota by the requests of one node. */
-struct UsedSoFar
+struct UsageTotal
 {
     OrganisationName organisation;
     /**
@@ -22,11 +22,11 @@
      * deducted again.
      */
     double units = 0;
-    bool operator==(const UsedSoFar &) const = default;
+    bool operator==(const UsageTotal &) const = default;
 };
 
 /** Reports totals rather than differences, so a lost datagram is made up for by the next one. */
-struct UsageTold
+struct UsageReport
 {
     /**
      * Incarnation of the keeper that the totals are for; none if the node has not heard from it
@@ -35,37 +35,37 @@
     Incarnation keeper;
     /** Increases with each message of a node; datagrams may be reordered. */
     std::uint64_t sequence = 0;
-    bool wantsStanding = false; ///< True if the node requests a StandingTold in return.
-    std::vector<UsedSoFar> used;
-    bool operator==(const UsageTold &) const = default;
+    bool wantsScarcity = false; ///< True if the node requests a ScarcityReport in return.
+    std::vector<UsageTotal> used;
+    bool operator==(const UsageReport &) const = default;
 };
 
 /** Asks whether a request may be served. A repeated question gets the same answer. */
-struct QuotaAsked
+struct QuotaQuery
 {
-    QuotaAskId ask;
+    QuotaQueryId ask;
     OrganisationName organisation;
     double units = 0;
-    bool operator==(const QuotaAsked &) const = default;
+    bool operator==(const QuotaQuery &) const = default;
 };
 
-using ToKeeper = std::variant<UsageTold, QuotaAsked>;
+using ToKeeper = std::variant<UsageReport, QuotaQuery>;
 
 /** Lists the organisations whose requests must be asked for individually. */
-struct StandingTold
+struct ScarcityReport
 {
     std::vector<OrganisationName> scarce;
-    bool operator==(const StandingTold &) const = default;
+    bool operator==(const ScarcityReport &) const = default;
 };
 
-struct QuotaAnswered
+struct QuotaAnswer
 {
-    QuotaAskId ask;
+    QuotaQueryId ask;
     bool isGranted = false;
     Duration roomAfter {}; ///< Retry delay of a refused request.
-    bool operator==(const QuotaAnswered &) const = default;
+    bool operator==(const QuotaAnswer &) const = default;
 };
 
-using FromKeeper = std::variant<StandingTold, QuotaAnswered>;
+using FromKeeper = std::variant<ScarcityReport, QuotaAnswer>;
 
 } // namespace indigoway::quotas
--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -51,7 +51,7 @@
     {
         play.dispatcher().setScheduler(NodeName("k"));
         play.reduce(milliseconds,
-                    QuotaKeeperAnswered {quotas::StandingTold {std::move(scarce)},
+                    QuotaKeeperAnswered {quotas::ScarcityReport {std::move(scarce)},
                                          keeperLife().incarnation});
         play.takeToldKeeper();
     }
@@ -164,14 +164,14 @@
         const RequestNumber granted = play.arriveWithKey(10, "plain", "k1", 1s);
         const RequestNumber refused = play.arriveWithKey(10, "plain", "k1", 1s);
         CPPUNIT_ASSERT(!play.hasCalls());
-        std::vector<quotas::QuotaAskId> asks;
+        std::vector<quotas::QuotaQueryId> asks;
         for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
-            asks.push_back(std::get<quotas::QuotaAsked>(message).ask);
+            asks.push_back(std::get<quotas::QuotaQuery>(message).ask);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, asks.size());
         const Incarnation life = keeperLife().incarnation;
-        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[0], true, 0ms}, life});
-        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[1], false, 2s}, life});
+        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswer {asks[0], true, 0ms}, life});
+        play.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswer {asks[1], false, 2s}, life});
         play.nextCall(CallKind::Plain);
         CPPUNIT_ASSERT_EQUAL(std::string("open"), play.outcome(granted));
         CPPUNIT_ASSERT_EQUAL(429, play.status(refused));
@@ -207,7 +207,7 @@
         CPPUNIT_ASSERT_EQUAL(503, play.status(request)); // There is no server.
         double last = -1;
         for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
-            const auto &told = std::get<quotas::UsageTold>(message);
+            const auto &told = std::get<quotas::UsageReport>(message);
             last = told.used.empty() ? last : told.used.back().units;
         }
         CPPUNIT_ASSERT_EQUAL(0.0, last);
@@ -239,7 +239,7 @@
         const RequestNumber request = play.arriveWithKey(2510, "plain", "k1", 1s);
         CPPUNIT_ASSERT_EQUAL(503, play.status(request)); // Passed, and there is no server.
         for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
-            for (const auto &used : std::get<quotas::UsageTold>(message).used) {
+            for (const auto &used : std::get<quotas::UsageReport>(message).used) {
                 CPPUNIT_ASSERT(used.units >= 0);
             }
         }
@@ -254,10 +254,10 @@
         play.addServer("d1", EnginePhase::Decode);
         hearKeeper(play, 0);
         play.arriveWithKey(10, "stream", "k1", 1s, 1000);
-        const auto stream = std::get<quotas::UsageTold>(play.takeToldKeeper().front());
+        const auto stream = std::get<quotas::UsageReport>(play.takeToldKeeper().front());
         CPPUNIT_ASSERT_EQUAL(1500.0, stream.used.front().units);
         play.arriveWithKey(20, "plain", "k1", 1s);
-        const auto plain = std::get<quotas::UsageTold>(play.takeToldKeeper().front());
+        const auto plain = std::get<quotas::UsageReport>(play.takeToldKeeper().front());
         CPPUNIT_ASSERT_EQUAL(1700.0, plain.used.front().units);
     }
 };
--- a/tests/quotas/quotacodectest.cpp
+++ b/tests/quotas/quotacodectest.cpp
@@ -46,24 +46,24 @@
 public:
     void messageRoundTrip()
     {
-        checkRoundTripToKeeper(UsageTold {Incarnation(4), 9, true, {}});
+        checkRoundTripToKeeper(UsageReport {Incarnation(4), 9, true, {}});
         checkRoundTripToKeeper(
-            UsageTold {Incarnation(4),
-                       9,
-                       false,
-                       {{OrganisationName("a"), 3700.5}, {OrganisationName("b"), -1}}});
-        checkRoundTripToKeeper(QuotaAsked {QuotaAskId(3), OrganisationName("a"), 3700});
-        checkRoundTripFromKeeper(StandingTold {{OrganisationName("a"), OrganisationName("b")}});
-        checkRoundTripFromKeeper(StandingTold {});
-        checkRoundTripFromKeeper(QuotaAnswered {QuotaAskId(3), true, Duration(0)});
+            UsageReport {Incarnation(4),
+                         9,
+                         false,
+                         {{OrganisationName("a"), 3700.5}, {OrganisationName("b"), -1}}});
+        checkRoundTripToKeeper(QuotaQuery {QuotaQueryId(3), OrganisationName("a"), 3700});
+        checkRoundTripFromKeeper(ScarcityReport {{OrganisationName("a"), OrganisationName("b")}});
+        checkRoundTripFromKeeper(ScarcityReport {});
+        checkRoundTripFromKeeper(QuotaAnswer {QuotaQueryId(3), true, Duration(0)});
         checkRoundTripFromKeeper(
-            QuotaAnswered {QuotaAskId(3), false, std::chrono::milliseconds(70)});
+            QuotaAnswer {QuotaQueryId(3), false, std::chrono::milliseconds(70)});
     }
 
     void rejectsInvalidDatagrams()
     {
         const std::string whole = encode(
-            Datagram<ToKeeper> {life(), QuotaAsked {QuotaAskId(3), OrganisationName("a"), 1}});
+            Datagram<ToKeeper> {life(), QuotaQuery {QuotaQueryId(3), OrganisationName("a"), 1}});
         for (std::size_t length = 0; length < whole.size(); ++length) {
             CPPUNIT_ASSERT(!readToKeeper(parseJson(whole.substr(0, length))));
         }
@@ -84,7 +84,7 @@
     {
         const bool isTrue = rc::check([] {
             Json::Value value = parseJson(encode(Datagram<ToKeeper> {
-                life(), UsageTold {Incarnation(4), 9, true, {{OrganisationName("a"), 3}}}}));
+                life(), UsageReport {Incarnation(4), 9, true, {{OrganisationName("a"), 3}}}}));
             value["kind"] = *rc::gen::element("quota_used", "quota_asked", "quota_standing",
                                               "quota_answer", "claim");
             const auto names = value.getMemberNames();
--- a/tests/quotas/quotafleet.h
+++ b/tests/quotas/quotafleet.h
@@ -102,7 +102,7 @@
         if (!one.isUp) {
             return;
         }
-        const QuotaAskId ask(++m_lastAskId);
+        const QuotaQueryId ask(++m_lastAskId);
         QuotaGate::Messages messages;
         const auto decision =
             one.gate->decide(now(), ask, OrganisationName("o"), m_settings.quota, units, messages);
@@ -162,7 +162,7 @@
         std::optional<std::size_t> keeperIndex;
         std::unique_ptr<QuotaGate> gate;
         std::unique_ptr<QuotaKeeper> keeper;
-        std::map<QuotaAskId, double> waiting;
+        std::map<QuotaQueryId, double> waiting;
     };
     struct Datagram
     {
