--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -43,7 +43,7 @@
                        : quota.plainCost;
 }
 
-void tellKeeper(Step &step, quotas::QuotaGate::Messages messages)
+void tellKeeper(Step &step, quotas::QuotaEnforcer::Messages messages)
 {
     for (quotas::ToKeeper &message : messages) {
         step.add(TellQuotaKeeper {std::move(message)});
@@ -64,7 +64,7 @@
 {
     m_table = std::move(table);
     m_hasNewRoutes = true;
-    m_quotas.setWanted(
+    m_quotas.setEnabled(
         std::ranges::any_of(m_table->organisations(), [](const Organisation &organisation) {
             return organisation.quota.has_value();
         }));
@@ -79,7 +79,7 @@
 void Dispatcher::setNodes(std::uint32_t nodes, TimePoint now)
 {
     m_state.nodes = nodes;
-    m_quotas.setNodes(nodes);
+    m_quotas.setNodeCount(nodes);
     m_state.nodesAt = now;
     for (auto &[service, allowance] : m_state.allowances) {
         allowance.setNodes(nodes, now);
@@ -231,7 +231,7 @@
     }
     const Quota &quota = *request.organisation->quota;
     const double units = unitsOf(quota, request.facts);
-    quotas::QuotaGate::Messages messages;
+    quotas::QuotaEnforcer::Messages messages;
     const quotas::QuotaDecision decision =
         m_quotas.decide(step.now, quotas::QuotaQueryId(request.facts.request.value()),
                         request.organisation->name, quota, units, messages);
@@ -241,7 +241,7 @@
         request.quotaUnits = decision.isCounted ? units : 0;
         flowOf(request).begin(step, request);
         return;
-    case quotas::QuotaDecision::Kind::Asked:
+    case quotas::QuotaDecision::Kind::Pending:
         request.stage = Stage::AwaitingQuota;
         return;
     case quotas::QuotaDecision::Kind::Refused:
@@ -252,15 +252,15 @@
 
 void Dispatcher::handle(Step &step, const QuotaKeeperAnswered &event)
 {
-    quotas::QuotaGate::Messages messages;
-    const auto verdict = m_quotas.answered(step.now, event.message, event.life, messages);
+    quotas::QuotaEnforcer::Messages messages;
+    const auto verdict = m_quotas.handleMessage(step.now, event.message, event.life, messages);
     tellKeeper(step, std::move(messages));
     if (verdict) {
         quotaDecided(step, *verdict);
     }
 }
 
-void Dispatcher::quotaDecided(Step &step, const quotas::QuotaVerdict &verdict)
+void Dispatcher::quotaDecided(Step &step, const quotas::QuotaResult &verdict)
 {
     OpenRequest *request = m_state.requests.find(RequestNumber(verdict.ask.value()));
     if (!request || request->stage != Stage::AwaitingQuota) {
@@ -284,7 +284,7 @@
     const std::string why = "over quota units=" + std::to_string(unitsOf(quota, request.facts))
         + " per_s=" + std::to_string(quota.perSecond) + " burst=" + std::to_string(quota.burst)
         + " room_after_ms=" + millisecondsText(roomAfter)
-        + " keeper=" + (m_quotas.hearsKeeper(step.now) ? "heard" : "silent");
+        + " keeper=" + (m_quotas.isKeeperReachable(step.now) ? "heard" : "silent");
     m_state.requests.refuse(step, request,
                             {TooManyRequests, RequestOutcome::OverQuota,
                              step.spread(std::max(roomAfter, LeastQuotaWait)), why});
@@ -292,13 +292,13 @@
 
 void Dispatcher::tickQuotas(Step &step)
 {
-    quotas::QuotaGate::Messages messages;
+    quotas::QuotaEnforcer::Messages messages;
     for (const OpenRequests::UnusedQuota &unused : m_state.requests.takeUnusedQuota()) {
-        m_quotas.giveBack(unused.organisation, unused.units, messages);
+        m_quotas.returnUnits(unused.organisation, unused.units, messages);
     }
     const auto verdicts = m_quotas.tick(step.now, messages);
     tellKeeper(step, std::move(messages));
-    for (const quotas::QuotaVerdict &verdict : verdicts) {
+    for (const quotas::QuotaResult &verdict : verdicts) {
         quotaDecided(step, verdict);
     }
 }
@@ -310,7 +310,7 @@
         return;
     }
     m_timeouts.clear(event.request);
-    m_quotas.dropQuestion(quotas::QuotaQueryId(event.request.value()));
+    m_quotas.abandonQuery(quotas::QuotaQueryId(event.request.value()));
     flowOf(*request).release(step, *request);
     m_state.requests.dropLeft(step, *request);
 }
@@ -407,7 +407,7 @@
 void Dispatcher::timeOut(Step &step, OpenRequest &request)
 {
     const bool mayHaveRun = request.mayHaveRun();
-    m_quotas.dropQuestion(quotas::QuotaQueryId(request.facts.request.value()));
+    m_quotas.abandonQuery(quotas::QuotaQueryId(request.facts.request.value()));
     flowOf(request).release(step, request);
     if (request.isForwarding) {
         m_state.requests.breakStream(step, request, "time is up");
@@ -449,7 +449,7 @@
     for (const RequestNumber number : numbers) {
         OpenRequest &request = *m_state.requests.find(number);
         flowOf(request).release(step, request);
-        m_quotas.dropQuestion(quotas::QuotaQueryId(number.value()));
+        m_quotas.abandonQuery(quotas::QuotaQueryId(number.value()));
         m_state.requests.refuse(step, request,
                                 {Unauthorized, RequestOutcome::Rejected, std::nullopt,
                                  "its key was taken away while it waited"});
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -84,7 +84,7 @@
     bool mayBegin(Step &step, const OpenRequest &request);
     /** Serves @p request if its organisation's quota has room for it. */
     void serveWithinQuota(Step &step, OpenRequest &request);
-    void quotaDecided(Step &step, const quotas::QuotaVerdict &verdict);
+    void quotaDecided(Step &step, const quotas::QuotaResult &verdict);
     void rejectOverQuota(Step &step, OpenRequest &request, Duration roomAfter);
     /** Gives back what was not used, and says and decides what is due. */
     void tickQuotas(Step &step);
@@ -103,7 +103,7 @@
     GenerationFlow m_generations;
     CrashWatch m_crashWatch;
     std::shared_ptr<const RouteTable> m_table;
-    quotas::QuotaGate m_quotas;
+    quotas::QuotaEnforcer m_quotas;
     bool m_hasNewRoutes = false; ///< Since time passed last.
     Deadlines<RequestNumber> m_timeouts;
     std::optional<TimePoint> m_nextTick;
--- a/src/dispatch/dispatchstate.h
+++ b/src/dispatch/dispatchstate.h
@@ -6,7 +6,7 @@
 #include "dispatch/servercalls.h"
 #include "dispatch/servertracker.h"
 #include "fleet/serverdirectory.h"
-#include "quotas/quotagate.h"
+#include "quotas/quotaenforcer.h"
 
 #include <map>
 
--- a/src/quotas/quotagate.cpp
+++ b/src/quotas/quotaenforcer.cpp
@@ -1,4 +1,4 @@
-#include "quotagate.h"
+#include "quotaenforcer.h"
 
 #include "core/deadlines.h"
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void QuotaGate::setKeeper(std::optional<NodeName> keeper)
+void QuotaEnforcer::setKeeper(std::optional<NodeName> keeper)
 {
     if (keeper == m_keeper) {
         return;
@@ -39,16 +39,16 @@
     m_keeperBackoffUntil = {};
 }
 
-bool QuotaGate::hearsKeeper(TimePoint now) const
+bool QuotaEnforcer::isKeeperReachable(TimePoint now) const
 {
     return m_keeper && !m_keeperLife.isNone() && now >= m_keeperBackoffUntil;
 }
 
-QuotaDecision QuotaGate::decide(TimePoint now, QuotaQueryId ask,
-                                const OrganisationName &organisation, const Quota &quota,
-                                double units, Messages &messages)
+QuotaDecision QuotaEnforcer::decide(TimePoint now, QuotaQueryId ask,
+                                    const OrganisationName &organisation, const Quota &quota,
+                                    double units, Messages &messages)
 {
-    if (!hearsKeeper(now)) {
+    if (!isKeeperReachable(now)) {
         QuotaDecision decision;
         const bool isPassed = decideLocally(now, organisation, quota, units, decision.roomAfter);
         decision.kind = isPassed ? QuotaDecision::Kind::Passed : QuotaDecision::Kind::Refused;
@@ -64,10 +64,11 @@
     m_localBuckets.insert_or_assign(organisation, QuotaBucket(0, now));
     m_pendingQueries[ask] = {organisation, quota, units, now, 1, false};
     messages.emplace_back(QuotaQuery {ask, organisation, units});
-    return {QuotaDecision::Kind::Asked, true, Duration(0)};
+    return {QuotaDecision::Kind::Pending, true, Duration(0)};
 }
 
-void QuotaGate::giveBack(const OrganisationName &organisation, double units, Messages &messages)
+void QuotaEnforcer::returnUnits(const OrganisationName &organisation, double units,
+                                Messages &messages)
 {
     if (m_keeperLife.isNone()) {
         return;
@@ -76,7 +77,7 @@
     reportUsage(organisation, messages);
 }
 
-void QuotaGate::dropQuestion(QuotaQueryId ask)
+void QuotaEnforcer::abandonQuery(QuotaQueryId ask)
 {
     const auto it = m_pendingQueries.find(ask);
     if (it != m_pendingQueries.end()) {
@@ -84,8 +85,8 @@
     }
 }
 
-std::optional<QuotaVerdict> QuotaGate::answered(TimePoint now, const FromKeeper &message,
-                                                Incarnation life, Messages &messages)
+std::optional<QuotaResult> QuotaEnforcer::handleMessage(TimePoint now, const FromKeeper &message,
+                                                        Incarnation life, Messages &messages)
 {
     if (life != m_keeperLife) {
         // A new keeper starts with empty buckets and counts the usage from now on.
@@ -108,14 +109,14 @@
     m_pendingQueries.erase(it);
     if (query.isAbandoned) {
         if (answer.isGranted) {
-            giveBack(query.organisation, query.units, messages);
+            returnUnits(query.organisation, query.units, messages);
         }
         return std::nullopt;
     }
-    return QuotaVerdict {answer.ask, answer.isGranted, true, answer.roomAfter};
+    return QuotaResult {answer.ask, answer.isGranted, true, answer.roomAfter};
 }
 
-std::vector<QuotaVerdict> QuotaGate::tick(TimePoint now, Messages &messages)
+std::vector<QuotaResult> QuotaEnforcer::tick(TimePoint now, Messages &messages)
 {
     if (!m_isEnabled || !m_keeper) {
         return decideAllLocally(now);
@@ -143,7 +144,7 @@
     return decideAllLocally(now);
 }
 
-std::optional<TimePoint> QuotaGate::nextTick() const
+std::optional<TimePoint> QuotaEnforcer::nextTick() const
 {
     if (!m_isEnabled || !m_keeper) {
         return std::nullopt;
@@ -155,8 +156,8 @@
     return next;
 }
 
-bool QuotaGate::decideLocally(TimePoint now, const OrganisationName &organisation,
-                              const Quota &quota, double units, Duration &roomAfter)
+bool QuotaEnforcer::decideLocally(TimePoint now, const OrganisationName &organisation,
+                                  const Quota &quota, double units, Duration &roomAfter)
 {
     QuotaBucket &bucket = localBucket(now, organisation, quota);
     const RateLimit limit = localShare(quota);
@@ -167,19 +168,19 @@
     return false;
 }
 
-RateLimit QuotaGate::localShare(const Quota &quota) const
+RateLimit QuotaEnforcer::localShare(const Quota &quota) const
 {
-    if (m_nodes == 0) {
+    if (m_nodeCount == 0) {
         return {};
     }
     const double unitsInWindow = quota.perSecond * secondsOf(m_bounds.window) + quota.burst;
     const double tolerance = m_bounds.over * unitsInWindow + m_bounds.slack;
-    return {quota.perSecond / m_nodes,
-            (quota.burst + LocalToleranceFraction * tolerance) / m_nodes};
+    return {quota.perSecond / m_nodeCount,
+            (quota.burst + LocalToleranceFraction * tolerance) / m_nodeCount};
 }
 
-QuotaBucket &QuotaGate::localBucket(TimePoint now, const OrganisationName &organisation,
-                                    const Quota &quota)
+QuotaBucket &QuotaEnforcer::localBucket(TimePoint now, const OrganisationName &organisation,
+                                        const Quota &quota)
 {
     // Without any answer from a keeper this node may be one of many that have just restarted, each
     // after it had used its share.
@@ -192,13 +193,13 @@
     return it->second;
 }
 
-void QuotaGate::reportUsage(const OrganisationName &organisation, Messages &messages)
+void QuotaEnforcer::reportUsage(const OrganisationName &organisation, Messages &messages)
 {
     messages.emplace_back(UsageReport {
         m_keeperLife, ++m_sequence, false, {{organisation, m_reportedUsage[organisation]}}});
 }
 
-void QuotaGate::sendHeartbeat(TimePoint now, Messages &messages)
+void QuotaEnforcer::sendHeartbeat(TimePoint now, Messages &messages)
 {
     UsageReport heartbeat {m_keeperLife, ++m_sequence, true, {}};
     constexpr std::size_t MaxTotals = 40; // Fits into one datagram.
@@ -213,14 +214,14 @@
         now + (m_unansweredHeartbeats > MaxUnanswered ? HeartbeatInterval : HeartbeatRetryInterval);
 }
 
-std::vector<QuotaVerdict> QuotaGate::decideAllLocally(TimePoint now)
+std::vector<QuotaResult> QuotaEnforcer::decideAllLocally(TimePoint now)
 {
-    std::vector<QuotaVerdict> verdicts;
+    std::vector<QuotaResult> verdicts;
     for (const auto &[ask, query] : m_pendingQueries) {
         if (query.isAbandoned) {
             continue;
         }
-        QuotaVerdict verdict {ask, false, false, Duration(0)};
+        QuotaResult verdict {ask, false, false, Duration(0)};
         verdict.isGranted =
             decideLocally(now, query.organisation, query.quota, query.units, verdict.roomAfter);
         verdicts.push_back(verdict);
--- a/src/quotas/quotagate.h
+++ b/src/quotas/quotaenforcer.h
@@ -26,7 +26,7 @@
 {
     enum class Kind {
         Passed,
-        Asked, ///< The keeper's answer decides.
+        Pending, ///< The keeper's answer decides.
         Refused,
     };
     Kind kind = Kind::Passed;
@@ -36,7 +36,7 @@
 };
 
 /** The result of a question to the keeper. */
-struct QuotaVerdict
+struct QuotaResult
 {
     QuotaQueryId ask;
     bool isGranted = false;
@@ -50,12 +50,12 @@
  * burst and half of the tolerance; the shares of all nodes together stay within the tolerance even
  * if all nodes are cut off from each other.
  */
-class QuotaGate
+class QuotaEnforcer
 {
 public:
     using Messages = std::vector<ToKeeper>;
 
-    explicit QuotaGate(QuotaBounds bounds)
+    explicit QuotaEnforcer(QuotaBounds bounds)
         : m_bounds(bounds)
     { }
 
@@ -64,9 +64,9 @@
      * configured.
      */
     void setKeeper(std::optional<NodeName> keeper);
-    void setWanted(bool isWanted) { m_isEnabled = isWanted; }
+    void setEnabled(bool isWanted) { m_isEnabled = isWanted; }
     /** Sets the number of nodes that share the quotas while the keeper is unreachable. */
-    void setNodes(std::uint32_t nodes) { m_nodes = nodes; }
+    void setNodeCount(std::uint32_t nodes) { m_nodeCount = nodes; }
 
     /**
      * Decides whether a request of @p units may run.
@@ -76,24 +76,24 @@
     QuotaDecision decide(TimePoint now, QuotaQueryId ask, const OrganisationName &organisation,
                          const Quota &quota, double units, Messages &messages);
     /** Returns the units of a request that the keeper has counted but that did not run. */
-    void giveBack(const OrganisationName &organisation, double units, Messages &messages);
+    void returnUnits(const OrganisationName &organisation, double units, Messages &messages);
     /** Abandons a question whose caller has left; units granted for it are returned. */
-    void dropQuestion(QuotaQueryId ask);
+    void abandonQuery(QuotaQueryId ask);
     /**
      * Handles a message from the keeper.
      * @param life the incarnation of the keeper
      * @return the result of a question, if the message answers one that has not been abandoned
      */
-    std::optional<QuotaVerdict> answered(TimePoint now, const FromKeeper &message, Incarnation life,
-                                         Messages &messages);
+    std::optional<QuotaResult> handleMessage(TimePoint now, const FromKeeper &message,
+                                             Incarnation life, Messages &messages);
     /**
      * Sends due heartbeats and repeated questions.
      * @return the questions decided locally because the keeper does not answer
      */
-    std::vector<QuotaVerdict> tick(TimePoint now, Messages &messages);
+    std::vector<QuotaResult> tick(TimePoint now, Messages &messages);
     /** Returns the time at which tick() must be called next. */
     std::optional<TimePoint> nextTick() const;
-    bool hearsKeeper(TimePoint now) const;
+    bool isKeeperReachable(TimePoint now) const;
 
 private:
     struct PendingQuery
@@ -113,10 +113,10 @@
                              const Quota &quota);
     void reportUsage(const OrganisationName &organisation, Messages &messages);
     void sendHeartbeat(TimePoint now, Messages &messages);
-    std::vector<QuotaVerdict> decideAllLocally(TimePoint now);
+    std::vector<QuotaResult> decideAllLocally(TimePoint now);
 
     QuotaBounds m_bounds;
-    std::uint32_t m_nodes = 0;
+    std::uint32_t m_nodeCount = 0;
     bool m_isEnabled = false;
     std::optional<NodeName> m_keeper;
     Incarnation m_keeperLife;                 ///< None until the keeper has answered.
--- a/src/quotas/quotakeeper.h
+++ b/src/quotas/quotakeeper.h
@@ -28,7 +28,7 @@
  *
  * A new keeper does not know the earlier usage, so its buckets start empty and a change of the
  * keeper grants no second burst. It grants the share of the rate that belongs to the nodes it hears
- * from; the other nodes grant their shares locally, see QuotaGate.
+ * from; the other nodes grant their shares locally, see QuotaEnforcer.
  */
 class QuotaKeeper
 {
--- a/tests/quotas/quotafleet.h
+++ b/tests/quotas/quotafleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "quotas/quotagate.h"
+#include "quotas/quotaenforcer.h"
 #include "quotas/quotakeeper.h"
 
 #include <deque>
@@ -66,8 +66,8 @@
         Node &one = m_nodes[node];
         one.isUp = true;
         one.incarnation = Incarnation(++m_incarnations);
-        one.gate = std::make_unique<QuotaGate>(m_settings.bounds);
-        one.gate->setWanted(true);
+        one.gate = std::make_unique<QuotaEnforcer>(m_settings.bounds);
+        one.gate->setEnabled(true);
         one.keeper = std::make_unique<QuotaKeeper>(one.incarnation);
         one.waiting.clear();
     }
@@ -89,7 +89,7 @@
             if (node.isUp && !node.isCut) {
                 node.knownNodes = knownNodes;
                 node.keeperIndex = keeper;
-                node.gate->setNodes(knownNodes);
+                node.gate->setNodeCount(knownNodes);
                 node.gate->setKeeper(keeper ? std::optional(nameOf(*keeper)) : std::nullopt);
             }
         }
@@ -103,14 +103,14 @@
             return;
         }
         const QuotaQueryId ask(++m_lastAskId);
-        QuotaGate::Messages messages;
+        QuotaEnforcer::Messages messages;
         const auto decision =
             one.gate->decide(now(), ask, OrganisationName("o"), m_settings.quota, units, messages);
         send(node, std::move(messages));
         ++m_requests;
         if (decision.kind == QuotaDecision::Kind::Passed) {
             grant(units);
-        } else if (decision.kind == QuotaDecision::Kind::Asked) {
+        } else if (decision.kind == QuotaDecision::Kind::Pending) {
             one.waiting[ask] = units;
         }
     }
@@ -160,7 +160,7 @@
         Incarnation incarnation;
         std::uint32_t knownNodes = 0;
         std::optional<std::size_t> keeperIndex;
-        std::unique_ptr<QuotaGate> gate;
+        std::unique_ptr<QuotaEnforcer> gate;
         std::unique_ptr<QuotaKeeper> keeper;
         std::map<QuotaQueryId, double> waiting;
     };
@@ -180,7 +180,7 @@
         m_grants.emplace_back(seconds(), units);
     }
 
-    void send(std::size_t node, QuotaGate::Messages messages)
+    void send(std::size_t node, QuotaEnforcer::Messages messages)
     {
         for (ToKeeper &message : messages) {
             if (m_nodes[node].keeperIndex) {
@@ -234,16 +234,16 @@
         if (node.keeperIndex != one.from) {
             return;
         }
-        QuotaGate::Messages messages;
-        const auto verdict = node.gate->answered(now(), std::get<FromKeeper>(one.message),
-                                                 m_nodes[one.from].incarnation, messages);
+        QuotaEnforcer::Messages messages;
+        const auto verdict = node.gate->handleMessage(now(), std::get<FromKeeper>(one.message),
+                                                      m_nodes[one.from].incarnation, messages);
         send(one.to, std::move(messages));
         if (verdict) {
             finishRequest(node, *verdict);
         }
     }
 
-    void finishRequest(Node &node, const QuotaVerdict &verdict)
+    void finishRequest(Node &node, const QuotaResult &verdict)
     {
         const auto it = node.waiting.find(verdict.ask);
         if (it != node.waiting.end() && verdict.isGranted) {
@@ -259,10 +259,10 @@
         if (!next || *next > now()) {
             return;
         }
-        QuotaGate::Messages messages;
+        QuotaEnforcer::Messages messages;
         const auto verdicts = one.gate->tick(now(), messages);
         send(node, std::move(messages));
-        for (const QuotaVerdict &verdict : verdicts) {
+        for (const QuotaResult &verdict : verdicts) {
             finishRequest(one, verdict);
         }
     }
