--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -2,7 +2,7 @@
 
 namespace indigoway {
 
-bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge)
+bool isFreshEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge)
 {
     return !maxCopyAge || (copyAge && *copyAge <= *maxCopyAge);
 }
@@ -15,7 +15,7 @@
     if (route.isOpen || !table.wantsKeys()) {
         return Admitted {organisation};
     }
-    if (!isNewEnough(copyAge, maxCopyAge)) {
+    if (!isFreshEnough(copyAge, maxCopyAge)) {
         return CopyTooOld {};
     }
     if (!organisation) {
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -47,6 +47,6 @@
                 std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge);
 
 /** Returns true if the staleness @p copyAge is within @p maxCopyAge. */
-bool isNewEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge);
+bool isFreshEnough(std::optional<Duration> copyAge, std::optional<Duration> maxCopyAge);
 
 } // namespace indigoway
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -171,7 +171,7 @@
     if (request.route) {
         return true;
     }
-    if (isNewEnough(facts.copyAge, m_state.settings.mostCopyAge)) {
+    if (isFreshEnough(facts.copyAge, m_state.settings.mostCopyAge)) {
         rejectUnserved(step, facts, NotFound, std::nullopt,
                        "no route version=" + std::to_string(m_table->version()));
     } else {
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -470,7 +470,7 @@
         return;
     }
     const auto age = m_sync.copyAge(BootClock::now());
-    const bool isProven = isNewEnough(age, most);
+    const bool isProven = isFreshEnough(age, most);
     if (isProven == m_isCopyProven) {
         return;
     }
