--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -10,8 +10,7 @@
 /** The credentials that a caller has sent. */
 struct Credentials
 {
-    /** Digest of the API key, or of the empty string if it is malformed; nothing if none was sent.
-     */
+    /** Digest of the API key, of the empty string if malformed; nothing if none was sent. */
     std::optional<KeyDigest> key;
 };
 
--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -83,13 +83,13 @@
                   m_queue.begin() + static_cast<std::ptrdiff_t>(std::exchange(m_inFlightCount, 0)));
 }
 
-void CrashPublisher::callFailed(TimePoint now, StoreError fault)
+void CrashPublisher::callFailed(TimePoint now, StoreError error)
 {
     m_isCallInFlight = false;
     m_inFlightCount = 0;
     m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
     ++m_failures;
-    if (fault == StoreError::NoLease) {
+    if (error == StoreError::NoLease) {
         m_lease = {};
         m_nextCallAt = now;
     }
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -54,7 +54,7 @@
     std::optional<PublisherCall> nextCall(TimePoint now);
     void leaseGranted(TimePoint now, StoreLease lease);
     void notesWritten(TimePoint now);
-    void callFailed(TimePoint now, StoreError fault);
+    void callFailed(TimePoint now, StoreError error);
     /** Makes failed calls due at once when the store has become reachable again. */
     void storeRecovered(TimePoint now);
     std::size_t queuedCount() const { return m_queue.size(); }
--- a/src/fleet/leadership.cpp
+++ b/src/fleet/leadership.cpp
@@ -12,10 +12,11 @@
     : m_identity(std::move(identity))
 { }
 
-void Leadership::updateHolder(const std::string *life, std::uint64_t revision, TimePoint now)
+void Leadership::updateHolder(const std::string *holderIdentity, std::uint64_t revision,
+                              TimePoint now)
 {
-    m_hasHolder = life != nullptr;
-    m_isHolder = life && *life == m_identity;
+    m_hasHolder = holderIdentity != nullptr;
+    m_isHolder = holderIdentity && *holderIdentity == m_identity;
     if (!m_isHolder) {
         return;
     }
--- a/src/fleet/leadership.h
+++ b/src/fleet/leadership.h
@@ -27,19 +27,21 @@
      */
     static constexpr Duration TakeoverDelay = std::chrono::milliseconds(6000);
 
-    /** @param life identifies this process; a restarted process does not inherit the right. */
+    /**
+     * @param identity identifies this process; a restarted process does not inherit the right.
+     */
     explicit Leadership(std::string identity);
 
     const std::string &identity() const { return m_identity; }
     /**
      * Handles a change of the store's item.
-     * @param life the holder's identity, or null if no node holds the right
+     * @param holderIdentity the holder's identity, or null if no node holds the right
      * @param revision the item's revision
      */
-    void updateHolder(const std::string *life, std::uint64_t revision, TimePoint now);
+    void updateHolder(const std::string *holderIdentity, std::uint64_t revision, TimePoint now);
     /**
      * Handles the record that some node was about to give orders at @p revision; the node that held
-     * the right then may still be acting. This and holderSeen() may be called in any order, since
+     * the right then may still be acting. This and updateHolder() may be called in any order, since
      * changes that arrive through another node are not in the order of the store's revisions.
      */
     void updateRecord(std::uint64_t revision) { m_recordRevision = revision; }
--- a/src/fleet/nodeannouncer.cpp
+++ b/src/fleet/nodeannouncer.cpp
@@ -70,12 +70,12 @@
     m_nextCallAt = m_isEntryWritten ? now + renewalInterval() : now;
 }
 
-void NodeAnnouncer::callFailed(TimePoint now, StoreError fault)
+void NodeAnnouncer::callFailed(TimePoint now, StoreError error)
 {
     m_isCallInFlight = false;
     m_nextCallAt = now + FirstRetryDelay * (1 << std::min(m_failures, MaxRetryDoublings));
     ++m_failures;
-    if (fault == StoreError::NoLease) {
+    if (error == StoreError::NoLease) {
         m_lease = {};
         m_isEntryWritten = false;
         m_nextCallAt = now;
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -50,7 +50,7 @@
     void leaseGranted(TimePoint now, const GrantedLease &granted);
     void entryWritten(TimePoint now);
     void leaseRenewed(TimePoint now);
-    void callFailed(TimePoint now, StoreError fault);
+    void callFailed(TimePoint now, StoreError error);
     /** Makes a failed call due at once when this or another node has reached the store again. */
     void storeRecovered(TimePoint now);
     /** Handles the removal of the entry while this node has not revoked its lease. */
--- a/src/fleet/nodedirectory.h
+++ b/src/fleet/nodedirectory.h
@@ -70,7 +70,7 @@
     /**
      * Returns addresses for callers in random order, starting with this node's own unless it is
      * leaving.
-     * @param most the maximum number of addresses
+     * @param maxCount the maximum number of addresses
      * @param entropy the seed of the random order
      */
     std::vector<std::string> callerAddresses(TimePoint now, std::size_t maxCount,
--- a/src/fleet/serverdirectory.cpp
+++ b/src/fleet/serverdirectory.cpp
@@ -148,10 +148,10 @@
         if (entry->server.phase != phase) {
             continue;
         }
-        const ServerAvailability standing = availabilityOf(*entry, now);
-        if (standing == ServerAvailability::Usable) {
+        const ServerAvailability availability = availabilityOf(*entry, now);
+        if (availability == ServerAvailability::Usable) {
             usable.push_back(&entry->server);
-        } else if (standing == ServerAvailability::LastResort) {
+        } else if (availability == ServerAvailability::LastResort) {
             lastResorts.push_back(&entry->server);
         }
     }
--- a/src/fleet/upstreamselector.cpp
+++ b/src/fleet/upstreamselector.cpp
@@ -50,17 +50,17 @@
                             spread % static_cast<std::uint64_t>(SnapshotTimeoutJitter.count()))))
 { }
 
-Upstream UpstreamSelector::choose(TimePoint now, const NodeDirectory &roster,
+Upstream UpstreamSelector::choose(TimePoint now, const NodeDirectory &directory,
                                   const std::vector<std::string> &seeds)
 {
     m_snapshotWantedSince.reset();
-    if (const auto parent = parentNode(now, roster)) {
+    if (const auto parent = parentNode(now, directory)) {
         return {*parent, false};
     }
     // If the watcher has failed, the store may be refusing all watchers but not this node, so the
     // store is tried before other peers.
-    if (!mayCallStore(now, isHighestRanked(roster))) {
-        if (const auto peer = chooseAnyPeer(now, roster, seeds)) {
+    if (!mayCallStore(now, isHighestRanked(directory))) {
+        if (const auto peer = chooseAnyPeer(now, directory, seeds)) {
             return *peer;
         }
     }
@@ -68,7 +68,7 @@
 }
 
 std::optional<Upstream> UpstreamSelector::chooseForSnapshot(TimePoint now,
-                                                            const NodeDirectory &roster,
+                                                            const NodeDirectory &directory,
                                                             const std::vector<std::string> &seeds,
                                                             bool isSeed)
 {
@@ -86,7 +86,7 @@
         }
         auto peer = chooseNextOf(now, seeds);
         if (!peer) {
-            peer = chooseAnyPeer(now, roster, seeds);
+            peer = chooseAnyPeer(now, directory, seeds);
         }
         if (peer || hasBusyPeer(now)) {
             return peer;
@@ -109,9 +109,9 @@
     }
 }
 
-bool UpstreamSelector::isWatcher(const NodeDirectory &roster) const
+bool UpstreamSelector::isWatcher(const NodeDirectory &directory) const
 {
-    const RankedNodes &nodes = roster.nodesInDomain(m_domain);
+    const RankedNodes &nodes = directory.nodesInDomain(m_domain);
     return !nodes.empty() && nodes.begin()->first.name == m_rank.name;
 }
 
@@ -141,10 +141,10 @@
 }
 
 std::optional<std::string> UpstreamSelector::parentNode(TimePoint now,
-                                                        const NodeDirectory &roster) const
+                                                        const NodeDirectory &directory) const
 {
     std::vector<const NodeEntry *> candidates;
-    for (const auto &[rank, node] : roster.nodesInDomain(m_domain)) {
+    for (const auto &[rank, node] : directory.nodesInDomain(m_domain)) {
         if (!(rank < m_rank)) {
             break;
         }
@@ -169,9 +169,9 @@
     });
 }
 
-bool UpstreamSelector::isHighestRanked(const NodeDirectory &roster) const
+bool UpstreamSelector::isHighestRanked(const NodeDirectory &directory) const
 {
-    const RankedNodes &nodes = roster.nodesInDomain(m_domain);
+    const RankedNodes &nodes = directory.nodesInDomain(m_domain);
     return nodes.empty() || !(nodes.begin()->first < m_rank);
 }
 
@@ -202,11 +202,12 @@
     return it != m_peerBackoffs.end() && now < it->second.until;
 }
 
-std::optional<Upstream> UpstreamSelector::chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
+std::optional<Upstream> UpstreamSelector::chooseAnyPeer(TimePoint now,
+                                                        const NodeDirectory &directory,
                                                         const std::vector<std::string> &seeds)
 {
     std::vector<std::string> addresses;
-    for (const NodeEntry *member : roster.members()) {
+    for (const NodeEntry *member : directory.members()) {
         if (member->name != m_rank.name) {
             addresses.push_back(member->controlAddress);
         }
--- a/src/fleet/upstreamselector.h
+++ b/src/fleet/upstreamselector.h
@@ -51,10 +51,10 @@
 
     /**
      * Chooses the upstream for changes.
-     * @param roster the known nodes, with or without this one
+     * @param directory the known nodes, with or without this one
      * @param seeds further control addresses
      */
-    Upstream choose(TimePoint now, const NodeDirectory &roster,
+    Upstream choose(TimePoint now, const NodeDirectory &directory,
                     const std::vector<std::string> &seeds);
     /**
      * Chooses the upstream for the rest of the initial listing.
@@ -62,13 +62,13 @@
      *     first
      * @return nothing if the peers are busy and should be asked again later
      */
-    std::optional<Upstream> chooseForSnapshot(TimePoint now, const NodeDirectory &roster,
+    std::optional<Upstream> chooseForSnapshot(TimePoint now, const NodeDirectory &directory,
                                               const std::vector<std::string> &seeds, bool isSeed);
     /** Handles a peer that is too busy to send a snapshot and names @p others that may have one. */
     void handleReferral(TimePoint now, const Upstream &busy,
                         const std::vector<std::string> &others);
     /** Returns true if this node is its domain's watcher; false while it has no entry itself. */
-    bool isWatcher(const NodeDirectory &roster) const;
+    bool isWatcher(const NodeDirectory &directory) const;
     void reportSuccess(const Upstream &upstream);
     void reportFailure(TimePoint now, const Upstream &upstream);
 
@@ -85,15 +85,15 @@
      * it has none. After several consecutive failures it goes further up, since nodes on the same
      * level depend on the same nodes above.
      */
-    std::optional<std::string> parentNode(TimePoint now, const NodeDirectory &roster) const;
+    std::optional<std::string> parentNode(TimePoint now, const NodeDirectory &directory) const;
     /** Returns true if no node of the domain has a better rank. */
-    bool isHighestRanked(const NodeDirectory &roster) const;
+    bool isHighestRanked(const NodeDirectory &directory) const;
     bool isBackedOff(const std::string &address, TimePoint now) const;
     bool mayCallStore(TimePoint now, bool isDomainWatcher) const;
     Upstream chooseStore(TimePoint now);
     /** Returns the time after which a failed store is tried again. */
     Duration storeRetryInterval(bool isDomainWatcher) const;
-    std::optional<Upstream> chooseAnyPeer(TimePoint now, const NodeDirectory &roster,
+    std::optional<Upstream> chooseAnyPeer(TimePoint now, const NodeDirectory &directory,
                                           const std::vector<std::string> &seeds);
     std::optional<Upstream> chooseNextOf(TimePoint now, const std::vector<std::string> &addresses);
     /** Returns true if any peer is avoided only because it is too busy to send a snapshot. */
--- a/src/quotas/quotacodec.cpp
+++ b/src/quotas/quotacodec.cpp
@@ -12,15 +12,15 @@
 constexpr double MaxUnits = 1e15;
 constexpr Duration MaxRetryDelay = std::chrono::hours(1);
 
-Json::Value body(const UsageReport &told)
+Json::Value body(const UsageReport &report)
 {
     Json::Value value;
     value["kind"] = "quota_used";
-    value["keeper"] = Json::UInt64(told.keeper.value());
-    value["sequence"] = Json::UInt64(told.sequence);
-    value["answer"] = told.wantsScarcity;
+    value["keeper"] = Json::UInt64(report.keeper.value());
+    value["sequence"] = Json::UInt64(report.sequence);
+    value["answer"] = report.wantsScarcity;
     value["used"] = Json::arrayValue;
-    for (const UsageTotal &used : told.used) {
+    for (const UsageTotal &used : report.used) {
         Json::Value &one = value["used"].append(Json::objectValue);
         one["organisation"] = used.organisation.text();
         one["units"] = used.units;
@@ -28,34 +28,34 @@
     return value;
 }
 
-Json::Value body(const QuotaQuery &asked)
+Json::Value body(const QuotaQuery &query)
 {
     Json::Value value;
     value["kind"] = "quota_asked";
-    value["ask"] = Json::UInt64(asked.ask.value());
-    value["organisation"] = asked.organisation.text();
-    value["units"] = asked.units;
+    value["ask"] = Json::UInt64(query.ask.value());
+    value["organisation"] = query.organisation.text();
+    value["units"] = query.units;
     return value;
 }
 
-Json::Value body(const ScarcityReport &standing)
+Json::Value body(const ScarcityReport &report)
 {
     Json::Value value;
     value["kind"] = "quota_standing";
     value["scarce"] = Json::arrayValue;
-    for (const OrganisationName &name : standing.scarce) {
+    for (const OrganisationName &name : report.scarce) {
         value["scarce"].append(name.text());
     }
     return value;
 }
 
-Json::Value body(const QuotaAnswer &answered)
+Json::Value body(const QuotaAnswer &answer)
 {
     Json::Value value;
     value["kind"] = "quota_answer";
-    value["ask"] = Json::UInt64(answered.ask.value());
-    value["granted"] = answered.isGranted;
-    value["room_after_us"] = Json::Int64(answered.roomAfter.count());
+    value["ask"] = Json::UInt64(answer.ask.value());
+    value["granted"] = answer.isGranted;
+    value["room_after_us"] = Json::Int64(answer.roomAfter.count());
     return value;
 }
 
@@ -73,12 +73,12 @@
     return std::abs(units) <= MaxUnits;
 }
 
-std::optional<ToKeeper> readUsage(const Json::Value &value)
+std::optional<ToKeeper> readUsageReport(const Json::Value &value)
 {
-    UsageReport told {Incarnation(numberMember(value, "keeper")),
-                      numberMember(value, "sequence"),
-                      value["answer"].isBool() && value["answer"].asBool(),
-                      {}};
+    UsageReport report {Incarnation(numberMember(value, "keeper")),
+                        numberMember(value, "sequence"),
+                        value["answer"].isBool() && value["answer"].asBool(),
+                        {}};
     if (!value["used"].isArray()) {
         return std::nullopt;
     }
@@ -88,31 +88,31 @@
         if (used.organisation.isEmpty() || !isBounded(used.units)) {
             return std::nullopt;
         }
-        told.used.push_back(std::move(used));
+        report.used.push_back(std::move(used));
     }
-    return told;
+    return report;
 }
 
-std::optional<ToKeeper> readAsked(const Json::Value &value)
+std::optional<ToKeeper> readQuery(const Json::Value &value)
 {
-    QuotaQuery asked {QuotaQueryId(numberMember(value, "ask")),
+    QuotaQuery query {QuotaQueryId(numberMember(value, "ask")),
                       OrganisationName(stringMember(value, "organisation")),
                       realMember(value, "units")};
-    const bool isUsable = !asked.ask.isNone() && !asked.organisation.isEmpty() && asked.units >= 0
-        && isBounded(asked.units);
-    return isUsable ? std::optional<ToKeeper>(std::move(asked)) : std::nullopt;
+    const bool isValid = !query.ask.isNone() && !query.organisation.isEmpty() && query.units >= 0
+        && isBounded(query.units);
+    return isValid ? std::optional<ToKeeper>(std::move(query)) : std::nullopt;
 }
 
-std::optional<FromKeeper> readStanding(const Json::Value &value)
+std::optional<FromKeeper> readScarcityReport(const Json::Value &value)
 {
     if (!value["scarce"].isArray()) {
         return std::nullopt;
     }
-    ScarcityReport standing;
+    ScarcityReport report;
     for (const Json::Value &name : value["scarce"]) {
-        standing.scarce.emplace_back(name.isString() ? name.asString() : std::string());
+        report.scarce.emplace_back(name.isString() ? name.asString() : std::string());
     }
-    return standing;
+    return report;
 }
 
 std::optional<FromKeeper> readAnswer(const Json::Value &value)
@@ -121,11 +121,11 @@
     if (ask.isNone() || !value["granted"].isBool() || !value["room_after_us"].isInt64()) {
         return std::nullopt;
     }
-    const Duration roomAfter(value["room_after_us"].asInt64());
-    if (roomAfter < Duration(0) || roomAfter > MaxRetryDelay) {
+    const Duration retryAfter(value["room_after_us"].asInt64());
+    if (retryAfter < Duration(0) || retryAfter > MaxRetryDelay) {
         return std::nullopt;
     }
-    return QuotaAnswer {ask, value["granted"].asBool(), roomAfter};
+    return QuotaAnswer {ask, value["granted"].asBool(), retryAfter};
 }
 
 template <typename Message>
@@ -155,16 +155,16 @@
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "quota_used") {
-        return withSender(value, readUsage(value));
+        return withSender(value, readUsageReport(value));
     }
-    return kind == "quota_asked" ? withSender(value, readAsked(value)) : std::nullopt;
+    return kind == "quota_asked" ? withSender(value, readQuery(value)) : std::nullopt;
 }
 
 std::optional<Datagram<FromKeeper>> readFromKeeper(const Json::Value &value)
 {
     const std::string kind = stringMember(value, "kind");
     if (kind == "quota_standing") {
-        return withSender(value, readStanding(value));
+        return withSender(value, readScarcityReport(value));
     }
     return kind == "quota_answer" ? withSender(value, readAnswer(value)) : std::nullopt;
 }
--- a/src/quotas/quotaenforcer.cpp
+++ b/src/quotas/quotaenforcer.cpp
@@ -11,7 +11,7 @@
 constexpr Duration HeartbeatInterval = std::chrono::milliseconds(1000);
 /** The retry interval of a heartbeat, longer than a round trip to a busy keeper. */
 constexpr Duration HeartbeatRetryInterval = std::chrono::milliseconds(200);
-/** The retry interval of a question; a caller waits for its answer. */
+/** The retry interval of a query; a caller waits for its answer. */
 constexpr Duration QueryRetryInterval = std::chrono::milliseconds(40);
 /** Number of unanswered datagrams in a row after which the keeper is considered unreachable. */
 constexpr std::uint32_t MaxUnanswered = 3;
@@ -33,7 +33,7 @@
         return;
     }
     m_keeper = std::move(keeper);
-    m_keeperLife = {};
+    m_keeperIncarnation = {};
     m_nextHeartbeatAt = {};
     m_unansweredHeartbeats = 0;
     m_keeperBackoffUntil = {};
@@ -41,7 +41,7 @@
 
 bool QuotaEnforcer::isKeeperReachable(TimePoint now) const
 {
-    return m_keeper && !m_keeperLife.isNone() && now >= m_keeperBackoffUntil;
+    return m_keeper && !m_keeperIncarnation.isNone() && now >= m_keeperBackoffUntil;
 }
 
 QuotaDecision QuotaEnforcer::decide(TimePoint now, QuotaQueryId ask,
@@ -70,7 +70,7 @@
 void QuotaEnforcer::returnUnits(const OrganisationName &organisation, double units,
                                 Messages &messages)
 {
-    if (m_keeperLife.isNone()) {
+    if (m_keeperIncarnation.isNone()) {
         return;
     }
     m_reportedUsage[organisation] -= units;
@@ -86,17 +86,17 @@
 }
 
 std::optional<QuotaResult> QuotaEnforcer::handleMessage(TimePoint now, const FromKeeper &message,
-                                                        Incarnation life, Messages &messages)
+                                                        Incarnation incarnation, Messages &messages)
 {
-    if (life != m_keeperLife) {
+    if (incarnation != m_keeperIncarnation) {
         // A new keeper starts with empty buckets and counts the usage from now on.
-        m_keeperLife = life;
+        m_keeperIncarnation = incarnation;
         m_reportedUsage.clear();
     }
     m_unansweredHeartbeats = 0;
     m_lastMessageAt = now;
-    if (const auto *standing = std::get_if<ScarcityReport>(&message)) {
-        m_scarce = {standing->scarce.begin(), standing->scarce.end()};
+    if (const auto *report = std::get_if<ScarcityReport>(&message)) {
+        m_scarce = {report->scarce.begin(), report->scarce.end()};
         m_nextHeartbeatAt = std::max(m_nextHeartbeatAt, now + HeartbeatInterval);
         return std::nullopt;
     }
@@ -157,14 +157,14 @@
 }
 
 bool QuotaEnforcer::decideLocally(TimePoint now, const OrganisationName &organisation,
-                                  const Quota &quota, double units, Duration &roomAfter)
+                                  const Quota &quota, double units, Duration &retryAfter)
 {
     QuotaBucket &bucket = localBucket(now, organisation, quota);
     const RateLimit limit = localShare(quota);
     if (bucket.take(limit, units)) {
         return true;
     }
-    roomAfter = bucket.timeUntilAvailable(limit, units);
+    retryAfter = bucket.timeUntilAvailable(limit, units);
     return false;
 }
 
@@ -196,12 +196,12 @@
 void QuotaEnforcer::reportUsage(const OrganisationName &organisation, Messages &messages)
 {
     messages.emplace_back(UsageReport {
-        m_keeperLife, ++m_sequence, false, {{organisation, m_reportedUsage[organisation]}}});
+        m_keeperIncarnation, ++m_sequence, false, {{organisation, m_reportedUsage[organisation]}}});
 }
 
 void QuotaEnforcer::sendHeartbeat(TimePoint now, Messages &messages)
 {
-    UsageReport heartbeat {m_keeperLife, ++m_sequence, true, {}};
+    UsageReport heartbeat {m_keeperIncarnation, ++m_sequence, true, {}};
     constexpr std::size_t MaxTotals = 40; // Fits into one datagram.
     for (const auto &[organisation, units] : m_reportedUsage) {
         if (heartbeat.used.size() < MaxTotals) {
@@ -216,18 +216,18 @@
 
 std::vector<QuotaResult> QuotaEnforcer::decideAllLocally(TimePoint now)
 {
-    std::vector<QuotaResult> verdicts;
+    std::vector<QuotaResult> results;
     for (const auto &[ask, query] : m_pendingQueries) {
         if (query.isAbandoned) {
             continue;
         }
-        QuotaResult verdict {ask, false, false, Duration(0)};
-        verdict.isGranted =
-            decideLocally(now, query.organisation, query.quota, query.units, verdict.roomAfter);
-        verdicts.push_back(verdict);
+        QuotaResult result {ask, false, false, Duration(0)};
+        result.isGranted =
+            decideLocally(now, query.organisation, query.quota, query.units, result.roomAfter);
+        results.push_back(result);
     }
     m_pendingQueries.clear();
-    return verdicts;
+    return results;
 }
 
 } // namespace indigoway::quotas
--- a/src/quotas/quotaenforcer.h
+++ b/src/quotas/quotaenforcer.h
@@ -35,7 +35,7 @@
     Duration roomAfter {}; ///< Retry delay of a refused request.
 };
 
-/** The result of a question to the keeper. */
+/** The result of a query to the keeper. */
 struct QuotaResult
 {
     QuotaQueryId ask;
@@ -60,35 +60,35 @@
     { }
 
     /**
-     * Sets the keeper, or none. setWanted() enables the exchange with it while any quota is
+     * Sets the keeper, or none. setEnabled() enables the exchange with it while any quota is
      * configured.
      */
     void setKeeper(std::optional<NodeName> keeper);
-    void setEnabled(bool isWanted) { m_isEnabled = isWanted; }
+    void setEnabled(bool isEnabled) { m_isEnabled = isEnabled; }
     /** Sets the number of nodes that share the quotas while the keeper is unreachable. */
     void setNodeCount(std::uint32_t nodes) { m_nodeCount = nodes; }
 
     /**
      * Decides whether a request of @p units may run.
-     * @param ask the id of the question if the keeper must be asked
+     * @param ask the id of the query if the keeper must be asked
      * @param messages receives the messages for the keeper
      */
     QuotaDecision decide(TimePoint now, QuotaQueryId ask, const OrganisationName &organisation,
                          const Quota &quota, double units, Messages &messages);
     /** Returns the units of a request that the keeper has counted but that did not run. */
     void returnUnits(const OrganisationName &organisation, double units, Messages &messages);
-    /** Abandons a question whose caller has left; units granted for it are returned. */
+    /** Abandons a query whose caller has left; units granted for it are returned. */
     void abandonQuery(QuotaQueryId ask);
     /**
      * Handles a message from the keeper.
-     * @param life the incarnation of the keeper
-     * @return the result of a question, if the message answers one that has not been abandoned
+     * @param incarnation the incarnation of the keeper
+     * @return the result of a query, if the message answers one that has not been abandoned
      */
     std::optional<QuotaResult> handleMessage(TimePoint now, const FromKeeper &message,
-                                             Incarnation life, Messages &messages);
+                                             Incarnation incarnation, Messages &messages);
     /**
-     * Sends due heartbeats and repeated questions.
-     * @return the questions decided locally because the keeper does not answer
+     * Sends due heartbeats and repeated queries.
+     * @return the queries decided locally because the keeper does not answer
      */
     std::vector<QuotaResult> tick(TimePoint now, Messages &messages);
     /** Returns the time at which tick() must be called next. */
@@ -107,7 +107,7 @@
     };
 
     bool decideLocally(TimePoint now, const OrganisationName &organisation, const Quota &quota,
-                       double units, Duration &roomAfter);
+                       double units, Duration &retryAfter);
     RateLimit localShare(const Quota &quota) const;
     QuotaBucket &localBucket(TimePoint now, const OrganisationName &organisation,
                              const Quota &quota);
@@ -119,7 +119,7 @@
     std::uint32_t m_nodeCount = 0;
     bool m_isEnabled = false;
     std::optional<NodeName> m_keeper;
-    Incarnation m_keeperLife;                 ///< None until the keeper has answered.
+    Incarnation m_keeperIncarnation;          ///< None until the keeper has answered.
     TimePoint m_lastMessageAt {};             ///< Time of its last message.
     TimePoint m_nextHeartbeatAt {};           ///< Time of the next heartbeat.
     std::uint32_t m_unansweredHeartbeats = 0; ///< Consecutive unanswered heartbeats.
--- a/src/quotas/quotakeeper.cpp
+++ b/src/quotas/quotakeeper.cpp
@@ -12,7 +12,7 @@
  */
 constexpr Duration NodeTimeout = std::chrono::milliseconds(2000);
 constexpr Duration FractionUpdateInterval = std::chrono::milliseconds(50);
-/** Longer than the time for which a node repeats a question. */
+/** Longer than the time for which a node repeats a query. */
 constexpr Duration AnswerRetention = std::chrono::seconds(1);
 /** Fractions of the burst; the gap between them prevents rapid changes of state. */
 constexpr double ScarceBelowFraction = 0.5;
@@ -36,8 +36,8 @@
     updateReachableFraction(now, view);
     const std::size_t scarceBefore = m_scarce.size();
     KeeperReplies replies;
-    if (const auto *asked = std::get_if<QuotaQuery>(&message)) {
-        replies.push_back({from.node, answer(now, view, state, *asked)});
+    if (const auto *query = std::get_if<QuotaQuery>(&message)) {
+        replies.push_back({from.node, answer(now, view, state, *query)});
     } else {
         const auto &report = std::get<UsageReport>(message);
         applyReport(now, view, state, report);
@@ -75,46 +75,46 @@
 }
 
 QuotaAnswer QuotaKeeper::answer(TimePoint now, const View &view, NodeState &state,
-                                const QuotaQuery &asked)
+                                const QuotaQuery &query)
 {
     std::erase_if(state.recentAnswers,
                   [&](const auto &one) { return now > one.second.at + AnswerRetention; });
-    if (const auto it = state.recentAnswers.find(asked.ask); it != state.recentAnswers.end()) {
+    if (const auto it = state.recentAnswers.find(query.ask); it != state.recentAnswers.end()) {
         return it->second.answer;
     }
-    const Quota *quota = quotaOf(view.routes, asked.organisation);
-    // The node has a different version of the configuration; a node asks only for organisations
-    // that it knows to have a quota, so granting is safe.
+    const Quota *quota = quotaOf(view.routes, query.organisation);
+    // Without a quota here the node has a different version of the configuration; a node asks only
+    // for organisations that it knows to have a quota, so granting is safe.
     const QuotaAnswer result =
-        quota ? decide(now, *quota, asked) : QuotaAnswer {asked.ask, true, Duration(0)};
-    state.recentAnswers.emplace(asked.ask, CachedAnswer {result, now});
+        quota ? decide(now, *quota, query) : QuotaAnswer {query.ask, true, Duration(0)};
+    state.recentAnswers.emplace(query.ask, CachedAnswer {result, now});
     return result;
 }
 
-QuotaAnswer QuotaKeeper::decide(TimePoint now, const Quota &quota, const QuotaQuery &asked)
+QuotaAnswer QuotaKeeper::decide(TimePoint now, const Quota &quota, const QuotaQuery &query)
 {
-    Account &one = account(now, asked.organisation, quota);
+    Account &one = account(now, query.organisation, quota);
     const RateLimit limit = limitOf(quota);
-    const bool isGranted = one.bucket.take(limit, asked.units);
-    updateScarcity(now, asked.organisation, quota);
+    const bool isGranted = one.bucket.take(limit, query.units);
+    updateScarcity(now, query.organisation, quota);
     if (isGranted) {
-        return {asked.ask, true, Duration(0)};
+        return {query.ask, true, Duration(0)};
     }
     // Refused callers get successive retry times, so that they do not all compete for the same
     // units.
-    const TimePoint room =
-        std::max(one.lastRetryAt, now + one.bucket.timeUntilAvailable(limit, asked.units));
-    const RateLimit whole {quota.perSecond, quota.burst};
-    one.lastRetryAt = room + QuotaBucket(0, now).timeUntilAvailable(whole, asked.units);
-    return {asked.ask, false, room - now};
+    const TimePoint retryAt =
+        std::max(one.lastRetryAt, now + one.bucket.timeUntilAvailable(limit, query.units));
+    const RateLimit fleetLimit {quota.perSecond, quota.burst};
+    one.lastRetryAt = retryAt + QuotaBucket(0, now).timeUntilAvailable(fleetLimit, query.units);
+    return {query.ask, false, retryAt - now};
 }
 
 QuotaKeeper::NodeState &QuotaKeeper::touchNode(TimePoint now, const NodeLife &from)
 {
     NodeState &state = m_nodes[from.node];
-    if (state.life != from.incarnation) {
+    if (state.incarnation != from.incarnation) {
         state = {};
-        state.life = from.incarnation;
+        state.incarnation = from.incarnation;
     }
     state.lastMessageAt = now;
     return state;
--- a/src/quotas/quotakeeper.h
+++ b/src/quotas/quotakeeper.h
@@ -64,11 +64,11 @@
     /** The state of a node that has sent a message. */
     struct NodeState
     {
-        Incarnation life;
+        Incarnation incarnation;
         TimePoint lastMessageAt {};
         std::map<OrganisationName, ReportedUsage> used;
-        std::map<QuotaQueryId, CachedAnswer>
-            recentAnswers; ///< Recent answers, for repeated questions.
+        /** Recent answers, for repeated queries. */
+        std::map<QuotaQueryId, CachedAnswer> recentAnswers;
     };
     /** The usage of an organisation by all nodes. */
     struct Account
@@ -78,8 +78,8 @@
     };
 
     void applyReport(TimePoint now, const View &view, NodeState &state, const UsageReport &report);
-    QuotaAnswer answer(TimePoint now, const View &view, NodeState &state, const QuotaQuery &asked);
-    QuotaAnswer decide(TimePoint now, const Quota &quota, const QuotaQuery &asked);
+    QuotaAnswer answer(TimePoint now, const View &view, NodeState &state, const QuotaQuery &query);
+    QuotaAnswer decide(TimePoint now, const Quota &quota, const QuotaQuery &query);
     NodeState &touchNode(TimePoint now, const NodeLife &from);
     void updateReachableFraction(TimePoint now, const View &view);
     Account &account(TimePoint now, const OrganisationName &name, const Quota &quota);
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -10,7 +10,7 @@
 /** @file Messages between nodes and the quota keeper, each in one datagram. */
 namespace indigoway::quotas {
 
-/** Identifies a question within one incarnation of a node. */
+/** Identifies a query within one incarnation of a node. */
 using QuotaQueryId = Number<struct QuotaQueryTag>;
 
 /** The total usage of an organisation's quota by the requests of one node. */
@@ -40,7 +40,7 @@
     bool operator==(const UsageReport &) const = default;
 };
 
-/** Asks whether a request may be served. A repeated question gets the same answer. */
+/** Asks whether a request may be served. A repeated query gets the same answer. */
 struct QuotaQuery
 {
     QuotaQueryId ask;
--- a/src/store/keyvaluestore.cpp
+++ b/src/store/keyvaluestore.cpp
@@ -2,9 +2,9 @@
 
 namespace indigoway {
 
-const char *nameOf(StoreError fault)
+const char *nameOf(StoreError error)
 {
-    switch (fault) {
+    switch (error) {
     case StoreError::Unanswered:
         return "unanswered";
     case StoreError::Refused:
--- a/src/store/keyvaluestore.h
+++ b/src/store/keyvaluestore.h
@@ -67,7 +67,7 @@
     Malformed,   ///< The answer cannot be parsed.
 };
 
-const char *nameOf(StoreError fault);
+const char *nameOf(StoreError error);
 
 template <typename Result>
 using StoreHandler = std::function<void(const std::variant<Result, StoreError> &)>;
--- a/src/store/mirror.cpp
+++ b/src/store/mirror.cpp
@@ -110,26 +110,26 @@
     m_asOf = std::max(m_asOf, changes.asOf);
 }
 
-bool Mirror::applyUpdate(const MirrorUpdate &news)
+bool Mirror::applyUpdate(const MirrorUpdate &update)
 {
-    if (news.asOf <= m_asOf) {
+    if (update.asOf <= m_asOf) {
         return true;
     }
-    if (!news.isSnapshot) {
-        if (news.after > m_asOf) {
+    if (!update.isSnapshot) {
+        if (update.after > m_asOf) {
             return false;
         }
-        applyChanges({news.changes, news.asOf});
+        applyChanges({update.changes, update.asOf});
         return true;
     }
     m_listedRevisions.clear();
-    m_listingRevision = news.asOf;
-    for (const StoredChange &change : news.changes) {
+    m_listingRevision = update.asOf;
+    for (const StoredChange &change : update.changes) {
         m_listedRevisions[change.key] = change.revision;
         put(itemOf(change));
     }
     removeUnlisted();
-    m_asOf = news.asOf;
+    m_asOf = update.asOf;
     m_needsListing = false;
     m_listCursor.clear();
     // Followers get the same update unchanged, see UpdateLog.
@@ -137,14 +137,14 @@
     return true;
 }
 
-void Mirror::callFailed(TimePoint now, StoreError fault)
+void Mirror::callFailed(TimePoint now, StoreError error)
 {
     m_isCallInFlight = false;
-    if (fault == StoreError::HistoryGone || fault == StoreError::Malformed) {
+    if (error == StoreError::HistoryGone || error == StoreError::Malformed) {
         m_needsListing = true;
         m_listCursor.clear();
     }
-    if (fault == StoreError::HistoryGone) {
+    if (error == StoreError::HistoryGone) {
         return; // The store is reachable, so the listing starts without delay.
     }
     const std::uint32_t doublings = std::min(m_failures, MaxRetryDoublings);
@@ -163,14 +163,14 @@
 
 MirrorUpdate Mirror::snapshot() const
 {
-    MirrorUpdate news;
-    news.asOf = m_asOf;
-    news.isSnapshot = true;
-    news.changes.reserve(m_items.size());
+    MirrorUpdate update;
+    update.asOf = m_asOf;
+    update.isSnapshot = true;
+    update.changes.reserve(m_items.size());
     for (const auto &[key, item] : m_items) {
-        news.changes.push_back({key, item.revision, item.value, item.created});
+        update.changes.push_back({key, item.revision, item.value, item.created});
     }
-    return news;
+    return update;
 }
 
 std::optional<MirrorUpdate> Mirror::takeStoreUpdate()
--- a/src/store/mirror.h
+++ b/src/store/mirror.h
@@ -70,8 +70,8 @@
      * Applies an update from a peer.
      * @return false, without any effect, if the update begins after the revision of this copy
      */
-    bool applyUpdate(const MirrorUpdate &news);
-    void callFailed(TimePoint now, StoreError fault);
+    bool applyUpdate(const MirrorUpdate &update);
+    void callFailed(TimePoint now, StoreError error);
     /**
      * Starts a new listing and abandons any call in flight, since changes may have been missed
      * while the process was suspended.
@@ -115,13 +115,13 @@
     std::uint64_t m_generation = 0;
     bool m_needsListing = true;
     std::string m_listCursor;
-    std::uint64_t m_listingRevision =
-        0; ///< Revision of the first page; the watch continues from here.
+    /** Revision of the first page; the watch continues from here. */
+    std::uint64_t m_listingRevision = 0;
     std::size_t m_pagesListed = 0;
     std::map<std::string, std::uint64_t> m_listedRevisions;
     std::optional<TimePoint> m_nextCallAt;
     std::uint32_t m_failures = 0;
-    MirrorUpdate m_storeUpdate; ///< Changes from the store that takeHeard() has not returned yet.
+    MirrorUpdate m_storeUpdate; ///< Changes not yet returned by takeStoreUpdate().
 };
 
 } // namespace indigoway
--- a/src/store/updatelog.h
+++ b/src/store/updatelog.h
@@ -46,8 +46,10 @@
     void add(EncodedUpdate update);
     /** Returns true if a mirror at @p revision can only be updated by a snapshot. */
     bool needsSnapshot(std::uint64_t revision) const;
-    /** Returns the updates that follow @p revision in order, after a snapshot if one is needed;
-     * empty if there are none. */
+    /**
+     * Returns the updates that follow @p revision in order, after a snapshot if one is needed;
+     * empty if there are none.
+     */
     std::vector<EncodedUpdate> since(std::uint64_t revision, const EncodeSnapshot &encodeSnapshot);
     std::uint64_t asOf() const { return m_asOf; }
     std::size_t logBytes() const { return m_logBytes; }
--- a/tests/fleet/nodedirectorytest.cpp
+++ b/tests/fleet/nodedirectorytest.cpp
@@ -83,12 +83,12 @@
 
     void leavingNodeListsOnlyOthers()
     {
-        NodeDirectory roster(node("self"));
-        roster.announce("k/self", node("self"));
-        CPPUNIT_ASSERT(contains(roster.callerAddresses(at(0), 64, 1), "self:1"));
-        roster.announce("k/b", node("b"));
-        roster.setLeaving();
-        const auto addresses = roster.callerAddresses(at(0), 64, 1);
+        NodeDirectory directory(node("self"));
+        directory.announce("k/self", node("self"));
+        CPPUNIT_ASSERT(contains(directory.callerAddresses(at(0), 64, 1), "self:1"));
+        directory.announce("k/b", node("b"));
+        directory.setLeaving();
+        const auto addresses = directory.callerAddresses(at(0), 64, 1);
         CPPUNIT_ASSERT(!contains(addresses, "self:1"));
         CPPUNIT_ASSERT(contains(addresses, "b:1"));
     }
@@ -97,46 +97,46 @@
     // outage.
     void withdrawnNodeIsRetained()
     {
-        NodeDirectory roster(node("self"));
-        roster.announce("k/b", node("b"));
-        roster.withdraw("k/b", at(0));
-        CPPUNIT_ASSERT(contains(roster.callerAddresses(at(500), 64, 1), "b:1"));
-        CPPUNIT_ASSERT(!contains(roster.callerAddresses(at(3'000), 64, 1), "b:1"));
-        CPPUNIT_ASSERT_EQUAL(1U, roster.count(at(3'000)));
+        NodeDirectory directory(node("self"));
+        directory.announce("k/b", node("b"));
+        directory.withdraw("k/b", at(0));
+        CPPUNIT_ASSERT(contains(directory.callerAddresses(at(500), 64, 1), "b:1"));
+        CPPUNIT_ASSERT(!contains(directory.callerAddresses(at(3'000), 64, 1), "b:1"));
+        CPPUNIT_ASSERT_EQUAL(1U, directory.count(at(3'000)));
     }
 
     /** Guards against a node that is kept in its domain after it has gone or has changed. */
     void ranksFollowAnnouncements()
     {
-        NodeDirectory roster(node("self"));
+        NodeDirectory directory(node("self"));
         NodeEntry large = node("z");
         large.cpuShare = 0.5;
-        roster.announce("k/z", large);
-        roster.announce("k/b", node("b"));
-        const RankedNodes &ranked = roster.nodesInDomain(DomainName("d"));
+        directory.announce("k/z", large);
+        directory.announce("k/b", node("b"));
+        const RankedNodes &ranked = directory.nodesInDomain(DomainName("d"));
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("z"));
         large.cpuShare = 0;
-        roster.announce("k/z", large);
+        directory.announce("k/z", large);
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("b"));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
-        roster.withdraw("k/b", at(0));
-        roster.purgeWithdrawn(at(500));
+        directory.withdraw("k/b", at(0));
+        directory.purgeWithdrawn(at(500));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
-        roster.withdraw("k/z", at(600));
-        roster.announce("k/z", large);
-        roster.purgeWithdrawn(at(3'000));
+        directory.withdraw("k/z", at(600));
+        directory.announce("k/z", large);
+        directory.purgeWithdrawn(at(3'000));
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, ranked.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, roster.members().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.members().size());
     }
 
     void boundsCallerAddresses()
     {
-        NodeDirectory roster(node("self"));
+        NodeDirectory directory(node("self"));
         for (int i = 0; i < 100; ++i) {
             const std::string name = "n" + std::to_string(i);
-            roster.announce(name, node(name));
+            directory.announce(name, node(name));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t {64}, roster.callerAddresses(at(0), 64, 9).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {64}, directory.callerAddresses(at(0), 64, 9).size());
     }
 
     // Guards against a healthy node that stays without an entry after its lease expired or its
--- a/tests/fleet/upstreamselectortest.cpp
+++ b/tests/fleet/upstreamselectortest.cpp
@@ -31,33 +31,33 @@
     return nodes;
 }
 
-UpstreamSelector choiceOf(const std::string &name)
+UpstreamSelector selectorOf(const std::string &name)
 {
     return UpstreamSelector(node(name, name.substr(0, 1)), 0);
 }
 
-NodeDirectory rosterOf(const std::vector<NodeEntry> &members)
+NodeDirectory directoryOf(const std::vector<NodeEntry> &members)
 {
-    NodeDirectory roster({});
+    NodeDirectory directory({});
     for (const NodeEntry &member : members) {
-        roster.announce("k/" + member.name.text(), member);
+        directory.announce("k/" + member.name.text(), member);
     }
-    return roster;
+    return directory;
 }
 
-std::string chosen(UpstreamSelector &choice, int milliseconds,
+std::string chosen(UpstreamSelector &selector, int milliseconds,
                    const std::vector<NodeEntry> &members = fleet(3),
                    const std::vector<std::string> &seeds = {})
 {
-    return choice.choose(at(milliseconds), rosterOf(members), seeds).peer.value_or("store");
+    return selector.choose(at(milliseconds), directoryOf(members), seeds).peer.value_or("store");
 }
 
-std::string chosenForFirstCopy(UpstreamSelector &choice, int milliseconds,
+std::string chosenForFirstCopy(UpstreamSelector &selector, int milliseconds,
                                const std::vector<NodeEntry> &members,
                                const std::vector<std::string> &seeds, bool isSeed = false)
 {
     const auto upstream =
-        choice.chooseForSnapshot(at(milliseconds), rosterOf(members), seeds, isSeed);
+        selector.chooseForSnapshot(at(milliseconds), directoryOf(members), seeds, isSeed);
     return upstream ? upstream->peer.value_or("store") : "nobody";
 }
 
@@ -65,10 +65,10 @@
 std::map<std::string, std::size_t> followerCounts(const std::vector<NodeEntry> &members)
 {
     std::map<std::string, std::size_t> followers;
-    const NodeDirectory roster = rosterOf(members);
+    const NodeDirectory directory = directoryOf(members);
     for (const NodeEntry &member : members) {
-        UpstreamSelector choice(member, 0);
-        ++followers[choice.choose(at(0), roster, {}).peer.value_or("store")];
+        UpstreamSelector selector(member, 0);
+        ++followers[selector.choose(at(0), directory, {}).peer.value_or("store")];
     }
     return followers;
 }
@@ -89,7 +89,7 @@
     CPPUNIT_TEST(listsStoreAfterSnapshotTimeout);
     CPPUNIT_TEST(followsReferrals);
     CPPUNIT_TEST(newNodeCallsStore);
-    CPPUNIT_TEST(nodeWithoutRosterFallsBackToSeeds);
+    CPPUNIT_TEST(newNodeFallsBackToSeeds);
     CPPUNIT_TEST(deadWatcherIsReplaced);
     CPPUNIT_TEST(triesStoreBeforeOtherWatchers);
     CPPUNIT_TEST(refusedWatcherUsesPeersAndProbesStore);
@@ -104,14 +104,14 @@
         const auto members = fleet(22);
         std::set<std::string> watchers;
         for (const NodeEntry &member : members) {
-            UpstreamSelector choice(member, 0);
-            if (chosen(choice, 0, members) == "store") {
+            UpstreamSelector selector(member, 0);
+            if (chosen(selector, 0, members) == "store") {
                 watchers.insert(member.name.text());
             }
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, watchers.size());
-        UpstreamSelector choice = choiceOf("b2");
-        CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 0, members));
+        UpstreamSelector selector = selectorOf("b2");
+        CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(selector, 0, members));
     }
 
     // Guards against a watcher on a small VM, whose bandwidth delays the changes for its domain.
@@ -121,8 +121,8 @@
         for (NodeEntry &member : members) {
             member.cpuShare = member.name.text().ends_with("4") ? 0.5 : 0.12;
         }
-        UpstreamSelector choice = choiceOf("b2");
-        CPPUNIT_ASSERT_EQUAL(std::string("b4:2"), chosen(choice, 0, members));
+        UpstreamSelector selector = selectorOf("b2");
+        CPPUNIT_ASSERT_EQUAL(std::string("b4:2"), chosen(selector, 0, members));
         UpstreamSelector watcher(members.at(8), 0);
         CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(watcher, 0, members));
     }
@@ -144,12 +144,12 @@
     void treeIsShallow()
     {
         const auto members = fleet(400);
-        const NodeDirectory roster = rosterOf(members);
+        const NodeDirectory directory = directoryOf(members);
         std::map<std::string, std::string> parents;
         for (const NodeEntry &member : members) {
-            UpstreamSelector choice(member, 0);
+            UpstreamSelector selector(member, 0);
             parents[member.controlAddress] =
-                choice.choose(at(0), roster, {}).peer.value_or("store");
+                selector.choose(at(0), directory, {}).peer.value_or("store");
         }
         for (const auto &[control, first] : parents) {
             std::size_t steps = 1;
@@ -165,16 +165,16 @@
     void repeatedFailuresGoFurtherUp()
     {
         const auto members = fleet(200);
-        const NodeDirectory roster = rosterOf(members);
-        UpstreamSelector choice(members.at(199), 0);
+        const NodeDirectory directory = directoryOf(members);
+        UpstreamSelector selector(members.at(199), 0);
         int asked = 0;
         for (int time = 0; time < 1'000; time += 10) {
-            const Upstream upstream = choice.choose(at(time), roster, {});
+            const Upstream upstream = selector.choose(at(time), directory, {});
             ++asked;
             if (!upstream.peer || *upstream.peer == "a1:2") {
                 break;
             }
-            choice.reportFailure(at(time), upstream);
+            selector.reportFailure(at(time), upstream);
         }
         CPPUNIT_ASSERT(asked <= 3);
     }
@@ -182,22 +182,22 @@
     /** Guards against a delay for a whole domain after a single broken watch. */
     void watcherRetriesSoon()
     {
-        UpstreamSelector choice = choiceOf("a1");
-        choice.reportFailure(at(0), {std::nullopt, false});
-        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 110));
-        choice.reportFailure(at(120), {std::nullopt, true});
-        CPPUNIT_ASSERT(chosen(choice, 300) != "store");
+        UpstreamSelector selector = selectorOf("a1");
+        selector.reportFailure(at(0), {std::nullopt, false});
+        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(selector, 110));
+        selector.reportFailure(at(120), {std::nullopt, true});
+        CPPUNIT_ASSERT(chosen(selector, 300) != "store");
     }
 
     /** Guards against frequent calls to a node that is lost for good. */
     void backsOffFromLostNode()
     {
-        UpstreamSelector choice = choiceOf("b2");
+        UpstreamSelector selector = selectorOf("b2");
         int asked = 0;
         for (int time = 0; time < 30'000; time += 50) {
-            if (chosen(choice, time) == "b1:2") {
+            if (chosen(selector, time) == "b1:2") {
                 ++asked;
-                choice.reportFailure(at(time), {"b1:2", false});
+                selector.reportFailure(at(time), {"b1:2", false});
             }
         }
         CPPUNIT_ASSERT(asked <= 4);
@@ -205,9 +205,9 @@
 
     void newNodeCallsStore()
     {
-        UpstreamSelector choice = choiceOf("b2");
-        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {}));
-        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 0, {node("a1", "a")}));
+        UpstreamSelector selector = selectorOf("b2");
+        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(selector, 0, {}));
+        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(selector, 0, {node("a1", "a")}));
     }
 
     /**
@@ -216,13 +216,13 @@
     void onlySeedsListStoreAtOnce()
     {
         const std::vector<std::string> seeds {"a1:2", "b1:2"};
-        UpstreamSelector seed = choiceOf("b1");
+        UpstreamSelector seed = selectorOf("b1");
         CPPUNIT_ASSERT_EQUAL(std::string("store"),
                              chosenForFirstCopy(seed, 0, fleet(3), seeds, true));
         std::map<std::string, int> followers;
         for (std::uint64_t spread = 0; spread < 100; ++spread) {
-            UpstreamSelector choice(node("b2", "b"), spread);
-            ++followers[chosenForFirstCopy(choice, 0, {}, seeds)];
+            UpstreamSelector selector(node("b2", "b"), spread);
+            ++followers[chosenForFirstCopy(selector, 0, {}, seeds)];
         }
         CPPUNIT_ASSERT_EQUAL(50, followers["a1:2"]);
         CPPUNIT_ASSERT_EQUAL(50, followers["b1:2"]);
@@ -233,13 +233,14 @@
     {
         std::set<std::string> late;
         for (std::uint64_t spread = 0; spread < 10; ++spread) {
-            UpstreamSelector choice(node("b2", "b"), spread * 500'000);
-            chosenForFirstCopy(choice, 0, fleet(3), {"a1:2"});
-            CPPUNIT_ASSERT(chosenForFirstCopy(choice, 4'900, fleet(3), {"a1:2"}) != "store");
-            late.insert(chosenForFirstCopy(choice, 7'500, fleet(3), {"a1:2"}) == "store" ? "store"
-                                                                                         : "peer");
+            UpstreamSelector selector(node("b2", "b"), spread * 500'000);
+            chosenForFirstCopy(selector, 0, fleet(3), {"a1:2"});
+            CPPUNIT_ASSERT(chosenForFirstCopy(selector, 4'900, fleet(3), {"a1:2"}) != "store");
+            late.insert(chosenForFirstCopy(selector, 7'500, fleet(3), {"a1:2"}) == "store"
+                            ? "store"
+                            : "peer");
             CPPUNIT_ASSERT_EQUAL(std::string("store"),
-                                 chosenForFirstCopy(choice, 10'100, fleet(3), {"a1:2"}));
+                                 chosenForFirstCopy(selector, 10'100, fleet(3), {"a1:2"}));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, late.size());
     }
@@ -247,38 +248,38 @@
     /** Guards against listing the store because the nodes that have a copy are busy for now. */
     void followsReferrals()
     {
-        UpstreamSelector choice = choiceOf("b2");
-        CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 0, {}, {"a1:2"}));
-        choice.handleReferral(at(10), {"a1:2", false}, {"b2:2", "c7:2"});
-        CPPUNIT_ASSERT_EQUAL(std::string("c7:2"), chosenForFirstCopy(choice, 20, {}, {"a1:2"}));
-        CPPUNIT_ASSERT_EQUAL(std::string("nobody"), chosenForFirstCopy(choice, 30, {}, {"a1:2"}));
-        CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(choice, 400, {}, {"a1:2"}));
+        UpstreamSelector selector = selectorOf("b2");
+        CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(selector, 0, {}, {"a1:2"}));
+        selector.handleReferral(at(10), {"a1:2", false}, {"b2:2", "c7:2"});
+        CPPUNIT_ASSERT_EQUAL(std::string("c7:2"), chosenForFirstCopy(selector, 20, {}, {"a1:2"}));
+        CPPUNIT_ASSERT_EQUAL(std::string("nobody"), chosenForFirstCopy(selector, 30, {}, {"a1:2"}));
+        CPPUNIT_ASSERT_EQUAL(std::string("a1:2"), chosenForFirstCopy(selector, 400, {}, {"a1:2"}));
         // An unreachable peer is no reason to wait.
-        choice.reportFailure(at(410), {"a1:2", false});
-        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosenForFirstCopy(choice, 420, {}, {"a1:2"}));
+        selector.reportFailure(at(410), {"a1:2", false});
+        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosenForFirstCopy(selector, 420, {}, {"a1:2"}));
     }
 
     // Guards against a new node without any state if the store refuses its calls.
-    void nodeWithoutRosterFallsBackToSeeds()
+    void newNodeFallsBackToSeeds()
     {
-        UpstreamSelector choice = choiceOf("b2");
-        const Upstream first = choice.choose(at(0), rosterOf({}), {"a1:2"});
+        UpstreamSelector selector = selectorOf("b2");
+        const Upstream first = selector.choose(at(0), directoryOf({}), {"a1:2"});
         CPPUNIT_ASSERT(!first.peer);
-        choice.reportFailure(at(10), first);
-        CPPUNIT_ASSERT(choice.choose(at(20), rosterOf({}), {"a1:2"}).peer.has_value());
-        CPPUNIT_ASSERT(!choice.choose(at(2'000), rosterOf({}), {"a1:2"}).peer);
+        selector.reportFailure(at(10), first);
+        CPPUNIT_ASSERT(selector.choose(at(20), directoryOf({}), {"a1:2"}).peer.has_value());
+        CPPUNIT_ASSERT(!selector.choose(at(2'000), directoryOf({}), {"a1:2"}).peer);
     }
 
     // Guards against a domain that receives no changes until the entry of its killed watcher
     // expires.
     void deadWatcherIsReplaced()
     {
-        UpstreamSelector choice = choiceOf("b2");
-        choice.reportFailure(at(0), {"b1:2", false});
-        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(choice, 10));
-        CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(choice, 5'000));
+        UpstreamSelector selector = selectorOf("b2");
+        selector.reportFailure(at(0), {"b1:2", false});
+        CPPUNIT_ASSERT_EQUAL(std::string("store"), chosen(selector, 10));
+        CPPUNIT_ASSERT_EQUAL(std::string("b1:2"), chosen(selector, 5'000));
         // The next node in rank becomes the watcher; the others follow it.
-        UpstreamSelector third = choiceOf("b3");
+        UpstreamSelector third = selectorOf("b3");
         third.reportFailure(at(0), {"b1:2", false});
         CPPUNIT_ASSERT_EQUAL(std::string("b2:2"), chosen(third, 10));
     }
@@ -287,28 +288,28 @@
     // only these.
     void triesStoreBeforeOtherWatchers()
     {
-        UpstreamSelector choice = choiceOf("b2");
-        choice.reportFailure(at(0), {"b1:2", false});
-        const Upstream store = choice.choose(at(10), rosterOf(fleet(3)), {});
+        UpstreamSelector selector = selectorOf("b2");
+        selector.reportFailure(at(0), {"b1:2", false});
+        const Upstream store = selector.choose(at(10), directoryOf(fleet(3)), {});
         CPPUNIT_ASSERT(!store.peer && !store.isProbe);
-        choice.reportFailure(at(20), store);
-        CPPUNIT_ASSERT(chosen(choice, 30) != "store");
-        CPPUNIT_ASSERT(chosen(choice, 40) != "b1:2");
+        selector.reportFailure(at(20), store);
+        CPPUNIT_ASSERT(chosen(selector, 30) != "store");
+        CPPUNIT_ASSERT(chosen(selector, 40) != "b1:2");
     }
 
     // Guards against a watcher without changes while the store refuses only its calls.
     void refusedWatcherUsesPeersAndProbesStore()
     {
-        UpstreamSelector choice = choiceOf("a1");
-        const Upstream first = choice.choose(at(0), rosterOf(fleet(3)), {});
+        UpstreamSelector selector = selectorOf("a1");
+        const Upstream first = selector.choose(at(0), directoryOf(fleet(3)), {});
         CPPUNIT_ASSERT(!first.peer && !first.isProbe);
-        choice.reportFailure(at(10), first);
-        CPPUNIT_ASSERT(chosen(choice, 20) != "store");
-        CPPUNIT_ASSERT_EQUAL(std::string("seed:2"), chosen(choice, 30, {}, {"seed:2"}));
-        const Upstream probe = choice.choose(at(2'000), rosterOf(fleet(3)), {});
+        selector.reportFailure(at(10), first);
+        CPPUNIT_ASSERT(chosen(selector, 20) != "store");
+        CPPUNIT_ASSERT_EQUAL(std::string("seed:2"), chosen(selector, 30, {}, {"seed:2"}));
+        const Upstream probe = selector.choose(at(2'000), directoryOf(fleet(3)), {});
         CPPUNIT_ASSERT(!probe.peer && probe.isProbe);
-        choice.reportSuccess(probe);
-        const Upstream again = choice.choose(at(2'010), rosterOf(fleet(3)), {});
+        selector.reportSuccess(probe);
+        const Upstream again = selector.choose(at(2'010), directoryOf(fleet(3)), {});
         CPPUNIT_ASSERT(!again.peer && !again.isProbe);
     }
 
@@ -316,13 +317,13 @@
     void onlyWatchersKeepProbingStore()
     {
         const auto probes = [](const std::string &name) {
-            UpstreamSelector choice = choiceOf(name);
+            UpstreamSelector selector = selectorOf(name);
             int asked = 0;
-            const NodeDirectory roster = rosterOf(fleet(30));
+            const NodeDirectory directory = directoryOf(fleet(30));
             for (int time = 0; time < 12'000; time += 100) {
-                const Upstream upstream = choice.choose(at(time), roster, {});
+                const Upstream upstream = selector.choose(at(time), directory, {});
                 asked += upstream.peer ? 0 : 1;
-                choice.reportFailure(at(time), upstream);
+                selector.reportFailure(at(time), upstream);
             }
             return asked;
         };
--- a/tests/quotas/quotafleet.h
+++ b/tests/quotas/quotafleet.h
@@ -66,8 +66,8 @@
         Node &one = m_nodes[node];
         one.isUp = true;
         one.incarnation = Incarnation(++m_incarnations);
-        one.gate = std::make_unique<QuotaEnforcer>(m_settings.bounds);
-        one.gate->setEnabled(true);
+        one.enforcer = std::make_unique<QuotaEnforcer>(m_settings.bounds);
+        one.enforcer->setEnabled(true);
         one.keeper = std::make_unique<QuotaKeeper>(one.incarnation);
         one.waiting.clear();
     }
@@ -89,8 +89,8 @@
             if (node.isUp && !node.isCut) {
                 node.knownNodes = knownNodes;
                 node.keeperIndex = keeper;
-                node.gate->setNodeCount(knownNodes);
-                node.gate->setKeeper(keeper ? std::optional(nameOf(*keeper)) : std::nullopt);
+                node.enforcer->setNodeCount(knownNodes);
+                node.enforcer->setKeeper(keeper ? std::optional(nameOf(*keeper)) : std::nullopt);
             }
         }
     }
@@ -104,8 +104,8 @@
         }
         const QuotaQueryId ask(++m_lastAskId);
         QuotaEnforcer::Messages messages;
-        const auto decision =
-            one.gate->decide(now(), ask, OrganisationName("o"), m_settings.quota, units, messages);
+        const auto decision = one.enforcer->decide(now(), ask, OrganisationName("o"),
+                                                   m_settings.quota, units, messages);
         send(node, std::move(messages));
         ++m_requests;
         if (decision.kind == QuotaDecision::Kind::Passed) {
@@ -160,7 +160,7 @@
         Incarnation incarnation;
         std::uint32_t knownNodes = 0;
         std::optional<std::size_t> keeperIndex;
-        std::unique_ptr<QuotaEnforcer> gate;
+        std::unique_ptr<QuotaEnforcer> enforcer;
         std::unique_ptr<QuotaKeeper> keeper;
         std::map<QuotaQueryId, double> waiting;
     };
@@ -216,10 +216,10 @@
             if (!to.isUp) {
                 continue;
             }
-            if (const auto *question = std::get_if<ToKeeper>(&one.message)) {
+            if (const auto *query = std::get_if<ToKeeper>(&one.message)) {
                 const QuotaKeeper::View view {m_routes, to.knownNodes};
                 const NodeLife from {nameOf(one.from), m_nodes[one.from].incarnation};
-                for (KeeperReply &reply : to.keeper->handle(now(), view, from, *question)) {
+                for (KeeperReply &reply : to.keeper->handle(now(), view, from, *query)) {
                     post(one.to, std::stoul(reply.to.text()), std::move(reply.message));
                 }
             } else {
@@ -235,35 +235,35 @@
             return;
         }
         QuotaEnforcer::Messages messages;
-        const auto verdict = node.gate->handleMessage(now(), std::get<FromKeeper>(one.message),
-                                                      m_nodes[one.from].incarnation, messages);
+        const auto result = node.enforcer->handleMessage(now(), std::get<FromKeeper>(one.message),
+                                                         m_nodes[one.from].incarnation, messages);
         send(one.to, std::move(messages));
-        if (verdict) {
-            finishRequest(node, *verdict);
+        if (result) {
+            finishRequest(node, *result);
         }
     }
 
-    void finishRequest(Node &node, const QuotaResult &verdict)
+    void finishRequest(Node &node, const QuotaResult &result)
     {
-        const auto it = node.waiting.find(verdict.ask);
-        if (it != node.waiting.end() && verdict.isGranted) {
+        const auto it = node.waiting.find(result.ask);
+        if (it != node.waiting.end() && result.isGranted) {
             grant(it->second);
         }
-        node.waiting.erase(verdict.ask);
+        node.waiting.erase(result.ask);
     }
 
     void tick(std::size_t node)
     {
         Node &one = m_nodes[node];
-        const auto next = one.gate->nextTick();
+        const auto next = one.enforcer->nextTick();
         if (!next || *next > now()) {
             return;
         }
         QuotaEnforcer::Messages messages;
-        const auto verdicts = one.gate->tick(now(), messages);
+        const auto results = one.enforcer->tick(now(), messages);
         send(node, std::move(messages));
-        for (const QuotaResult &verdict : verdicts) {
-            finishRequest(one, verdict);
+        for (const QuotaResult &result : results) {
+            finishRequest(one, result);
         }
     }
 
--- a/tests/store/mirrortest.cpp
+++ b/tests/store/mirrortest.cpp
@@ -47,7 +47,7 @@
     return std::get<WatchCall>(call).revision;
 }
 
-MirrorUpdate whole(std::uint64_t asOf, std::vector<StoredChange> items)
+MirrorUpdate snapshotUpdate(std::uint64_t asOf, std::vector<StoredChange> items)
 {
     return {0, asOf, true, std::move(items)};
 }
@@ -135,10 +135,10 @@
         one.mirror.beginStoreCall();
         one.mirror.applyPage({{item("p/a", 3, "old")}, false, 10});
         one.mirror.beginPeerCall();
-        one.mirror.applyUpdate(whole(20, {{"p/a", 18, "new"}}));
+        one.mirror.applyUpdate(snapshotUpdate(20, {{"p/a", 18, "new"}}));
         one.mirror.applyWatch(at(0), {{{"p/a", 12, "between"}}, 12});
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
-        one.mirror.applyUpdate(whole(15, {{"p/a", 12, "between"}}));
+        one.mirror.applyUpdate(snapshotUpdate(15, {{"p/a", 12, "between"}}));
         CPPUNIT_ASSERT_EQUAL(std::string("new"), one.items["p/a"]);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
     }
@@ -151,7 +151,7 @@
         one.mirror.callFailed(at(1), StoreError::Refused);
         CPPUNIT_ASSERT(!one.mirror.isLoaded());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {0}, one.mirror.beginPeerCall());
-        one.mirror.applyUpdate(whole(20, {{"p/a", 18, "v"}}));
+        one.mirror.applyUpdate(snapshotUpdate(20, {{"p/a", 18, "v"}}));
         CPPUNIT_ASSERT(one.mirror.isLoaded());
         CPPUNIT_ASSERT(one.items.contains("p/a"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {20}, watchRevision(one.mirror.beginStoreCall()));
@@ -202,7 +202,7 @@
     void itemRemovedDuringListingStaysRemoved()
     {
         CollectingMirror watcher;
-        watcher.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        watcher.mirror.applyUpdate(snapshotUpdate(10, {{"p/a", 9, "v"}}));
         watcher.mirror.refresh();
         watcher.mirror.beginStoreCall();
         watcher.mirror.applyPage({{item("p/b", 12)}, true, 12});
@@ -222,7 +222,7 @@
     void rejectsUpdateAfterGap()
     {
         CollectingMirror one;
-        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        one.mirror.applyUpdate(snapshotUpdate(10, {{"p/a", 9, "v"}}));
         CPPUNIT_ASSERT(!one.mirror.applyUpdate({12, 14, false, {{"p/a", 13, "new"}}}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {10}, one.mirror.asOf());
         CPPUNIT_ASSERT(one.mirror.applyUpdate({8, 14, false, {{"p/a", 13, "new"}}}));
@@ -233,7 +233,7 @@
     void overlappingUpdateIsIdempotent()
     {
         CollectingMirror one;
-        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        one.mirror.applyUpdate(snapshotUpdate(10, {{"p/a", 9, "v"}}));
         const MirrorUpdate first {10, 14, false, {{"p/b", 11, "v"}, {"p/b", 12, std::nullopt}}};
         CPPUNIT_ASSERT(one.mirror.applyUpdate(first));
         CPPUNIT_ASSERT(one.mirror.applyUpdate(
@@ -276,7 +276,7 @@
     void batchesChangesBetweenWatches()
     {
         CollectingMirror one;
-        one.mirror.applyUpdate(whole(10, {{"p/a", 9, "v"}}));
+        one.mirror.applyUpdate(snapshotUpdate(10, {{"p/a", 9, "v"}}));
         int calls = 0;
         std::uint64_t revision = 10;
         for (int time = 0; time < 10'000; time += 5) {
@@ -305,7 +305,7 @@
             for (const std::uint64_t revision : revisions) {
                 newest = std::max(newest, revision);
                 one.mirror.applyUpdate(
-                    whole(revision, {{"p/a", revision, std::to_string(revision)}}));
+                    snapshotUpdate(revision, {{"p/a", revision, std::to_string(revision)}}));
                 RC_ASSERT(one.mirror.asOf() == newest);
                 RC_ASSERT(one.items["p/a"] == std::to_string(newest));
             }
--- a/tests/store/stalenessboundtest.cpp
+++ b/tests/store/stalenessboundtest.cpp
@@ -32,49 +32,49 @@
 public:
     void ageCountsFromTheRequest()
     {
-        StalenessBound proof;
-        CPPUNIT_ASSERT(!proof.age(at(0)));
-        proof.revisionRead(at(0), 7, 7);
-        CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
-        proof.revisionRead(at(-20), 7, 9); // An earlier request that is answered later.
-        CPPUNIT_ASSERT(proof.age(at(30)) == Duration(30ms));
+        StalenessBound bound;
+        CPPUNIT_ASSERT(!bound.age(at(0)));
+        bound.revisionRead(at(0), 7, 7);
+        CPPUNIT_ASSERT(bound.age(at(30)) == Duration(30ms));
+        bound.revisionRead(at(-20), 7, 9); // An earlier request that is answered later.
+        CPPUNIT_ASSERT(bound.age(at(30)) == Duration(30ms));
     }
 
     // Guards against a copy that counts as fresh before it has reached the store's revision.
     void ageGrowsUntilCopyCatchesUp()
     {
-        StalenessBound proof;
-        proof.revisionRead(at(0), 7, 7);
-        proof.revisionRead(at(1000), 8, 7);
-        CPPUNIT_ASSERT(proof.age(at(1010)) == Duration(1010ms));
-        proof.revisionRead(at(2000), 9, 7);
-        proof.copyAdvanced(8);
-        CPPUNIT_ASSERT(proof.age(at(2010)) == Duration(1010ms));
+        StalenessBound bound;
+        bound.revisionRead(at(0), 7, 7);
+        bound.revisionRead(at(1000), 8, 7);
+        CPPUNIT_ASSERT(bound.age(at(1010)) == Duration(1010ms));
+        bound.revisionRead(at(2000), 9, 7);
+        bound.copyAdvanced(8);
+        CPPUNIT_ASSERT(bound.age(at(2010)) == Duration(1010ms));
     }
 
     // Guards against an answer that counts as fresh although it was read late after a suspension.
     void lateAnswerIsStale()
     {
-        StalenessBound proof;
-        proof.revisionRead(at(0), 7, 7);
-        CPPUNIT_ASSERT(proof.age(at(8000)) == Duration(8s));
+        StalenessBound bound;
+        bound.revisionRead(at(0), 7, 7);
+        CPPUNIT_ASSERT(bound.age(at(8000)) == Duration(8s));
     }
 
     void agesAddUpAlongChain()
     {
-        StalenessBound proof;
+        StalenessBound bound;
         // Sent at 0, held for 0.8 s, then 1.5 s stale: the store's state at -0.7 s.
-        proof.peerAnswered(at(0), at(803), 800ms, 1500ms);
-        CPPUNIT_ASSERT(proof.age(at(1000)) == Duration(1700ms));
+        bound.peerAnswered(at(0), at(803), 800ms, 1500ms);
+        CPPUNIT_ASSERT(bound.age(at(1000)) == Duration(1700ms));
     }
 
     void boundsHoldTimeOfPeer()
     {
-        StalenessBound proof;
-        proof.peerAnswered(at(0), at(100), 5s, 0ms);
-        CPPUNIT_ASSERT(proof.age(at(100)) == Duration(0ms));
-        proof.peerAnswered(at(0), at(100), -5s, -5s);
-        CPPUNIT_ASSERT(proof.age(at(100)) == Duration(0ms));
+        StalenessBound bound;
+        bound.peerAnswered(at(0), at(100), 5s, 0ms);
+        CPPUNIT_ASSERT(bound.age(at(100)) == Duration(0ms));
+        bound.peerAnswered(at(0), at(100), -5s, -5s);
+        CPPUNIT_ASSERT(bound.age(at(100)) == Duration(0ms));
     }
 
     // Guards against a node in a chain that underestimates the staleness of its copy, with random
@@ -83,7 +83,7 @@
     {
         const bool isTrue = rc::check([] {
             constexpr std::size_t Nodes = 4;
-            std::vector<StalenessBound> proofs(Nodes);
+            std::vector<StalenessBound> bounds(Nodes);
             std::vector<std::uint64_t> copies(Nodes, 0);
             std::vector<std::int64_t> changedAt {0}; // Indexed by revision.
             std::int64_t now = 0;
@@ -92,7 +92,7 @@
             };
             const auto check = [&] {
                 for (std::size_t node = 0; node < Nodes; ++node) {
-                    const auto age = proofs[node].age(at(now));
+                    const auto age = bounds[node].age(at(now));
                     const bool lacksChange = copies[node] + 1 < changedAt.size();
                     if (age && lacksChange) {
                         const auto missingFor =
@@ -113,10 +113,10 @@
                     advanceTime();
                     const std::uint64_t revision = changedAt.size() - 1;
                     advanceTime();
-                    proofs[0].revisionRead(askedAt, revision, copies[0]);
+                    bounds[0].revisionRead(askedAt, revision, copies[0]);
                     copies[0] =
                         std::max(copies[0], *rc::gen::inRange<std::uint64_t>(0, changedAt.size()));
-                    proofs[0].copyAdvanced(copies[0]);
+                    bounds[0].copyAdvanced(copies[0]);
                     break;
                 }
                 default: { // A node requests updates from the previous one.
@@ -127,13 +127,13 @@
                     advanceTime();
                     const std::int64_t arrivedAt = now;
                     advanceTime();
-                    const auto age = proofs[node - 1].age(at(now));
+                    const auto age = bounds[node - 1].age(at(now));
                     const std::uint64_t copy = copies[node - 1];
                     const auto held = std::chrono::milliseconds(now - arrivedAt);
                     advanceTime();
                     copies[node] = std::max(copies[node], copy);
                     if (age) {
-                        proofs[node].peerAnswered(askedAt, at(now), held, *age);
+                        bounds[node].peerAnswered(askedAt, at(now), held, *age);
                     }
                     break;
                 }
--- a/tests/store/updatelogtest.cpp
+++ b/tests/store/updatelogtest.cpp
@@ -208,17 +208,17 @@
     {
         constexpr double BytesPerSecond = 2'500'000;
         constexpr std::size_t SnapshotBytes = 400'000;
-        SnapshotThrottle turns(BytesPerSecond);
+        SnapshotThrottle throttle(BytesPerSecond);
         int started = 0;
         for (int i = 0; i < 200; ++i) {
-            if (turns.mayStart(at(0))) {
-                turns.start(at(0), SnapshotBytes);
+            if (throttle.mayStart(at(0))) {
+                throttle.start(at(0), SnapshotBytes);
                 ++started;
             }
         }
         CPPUNIT_ASSERT(started >= 3);
         CPPUNIT_ASSERT(started <= 4);
-        CPPUNIT_ASSERT(turns.mayStart(at(500)));
+        CPPUNIT_ASSERT(throttle.mayStart(at(500)));
     }
 };
 
