--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -245,7 +245,7 @@
         request.stage = Stage::AwaitingQuota;
         return;
     case quotas::QuotaDecision::Kind::Refused:
-        rejectOverQuota(step, request, decision.roomAfter);
+        rejectOverQuota(step, request, decision.retryAfter);
         return;
     }
 }
@@ -267,7 +267,7 @@
         return;
     }
     if (!verdict.isGranted) {
-        rejectOverQuota(step, *request, verdict.roomAfter);
+        rejectOverQuota(step, *request, verdict.retryAfter);
         return;
     }
     request->stage = Stage::Calling;
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -424,7 +424,7 @@
         {"scheduler_engines_looked", m_scheduling.scheduler().enginesLooked()},
         {"scheduler_unsent", m_scheduling.unsent()},
         {"order_looks", m_dispatcher.orderLooks()},
-        {"quotas_scarce", m_scheduling.quotaKeeper().scarce()},
+        {"quotas_scarce", m_scheduling.quotaKeeper().scarceCount()},
         {"contents_crashed", m_dispatcher.crashes().size()},
         {"contents_refused", m_dispatcher.crashes().refused()},
         {"leaving", m_leavingSince ? 1U : 0U},
--- a/src/quotas/quotacodec.cpp
+++ b/src/quotas/quotacodec.cpp
@@ -55,7 +55,7 @@
     value["kind"] = "quota_answer";
     value["ask"] = Json::UInt64(answer.ask.value());
     value["granted"] = answer.isGranted;
-    value["room_after_us"] = Json::Int64(answer.roomAfter.count());
+    value["room_after_us"] = Json::Int64(answer.retryAfter.count());
     return value;
 }
 
--- a/src/quotas/quotaenforcer.cpp
+++ b/src/quotas/quotaenforcer.cpp
@@ -50,7 +50,7 @@
 {
     if (!isKeeperReachable(now)) {
         QuotaDecision decision;
-        const bool isPassed = decideLocally(now, organisation, quota, units, decision.roomAfter);
+        const bool isPassed = decideLocally(now, organisation, quota, units, decision.retryAfter);
         decision.kind = isPassed ? QuotaDecision::Kind::Passed : QuotaDecision::Kind::Refused;
         return decision;
     }
@@ -113,7 +113,7 @@
         }
         return std::nullopt;
     }
-    return QuotaResult {answer.ask, answer.isGranted, true, answer.roomAfter};
+    return QuotaResult {answer.ask, answer.isGranted, true, answer.retryAfter};
 }
 
 std::vector<QuotaResult> QuotaEnforcer::tick(TimePoint now, Messages &messages)
@@ -223,7 +223,7 @@
         }
         QuotaResult result {ask, false, false, Duration(0)};
         result.isGranted =
-            decideLocally(now, query.organisation, query.quota, query.units, result.roomAfter);
+            decideLocally(now, query.organisation, query.quota, query.units, result.retryAfter);
         results.push_back(result);
     }
     m_pendingQueries.clear();
--- a/src/quotas/quotaenforcer.h
+++ b/src/quotas/quotaenforcer.h
@@ -32,7 +32,7 @@
     Kind kind = Kind::Passed;
     /** True if the keeper counts the request, so that unused units must be returned. */
     bool isCounted = false;
-    Duration roomAfter {}; ///< Retry delay of a refused request.
+    Duration retryAfter {}; ///< Retry delay of a refused request.
 };
 
 /** The result of a query to the keeper. */
@@ -41,7 +41,7 @@
     QuotaQueryId ask;
     bool isGranted = false;
     bool isCounted = false; ///< As in QuotaDecision.
-    Duration roomAfter {};
+    Duration retryAfter {};
 };
 
 /**
--- a/src/quotas/quotakeeper.h
+++ b/src/quotas/quotakeeper.h
@@ -47,7 +47,7 @@
     KeeperReplies handle(TimePoint now, const View &view, const NodeLife &from,
                          const ToKeeper &message);
     /** Returns the number of organisations whose requests must be asked for individually. */
-    std::size_t scarce() const { return m_scarce.size(); }
+    std::size_t scarceCount() const { return m_scarce.size(); }
 
 private:
     /** The total usage of an organisation that a node has reported last. */
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -62,7 +62,7 @@
 {
     QuotaQueryId ask;
     bool isGranted = false;
-    Duration roomAfter {}; ///< Retry delay of a refused request.
+    Duration retryAfter {}; ///< Retry delay of a refused request.
     bool operator==(const QuotaAnswer &) const = default;
 };
 
