--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -262,7 +262,7 @@
 
 void Dispatcher::quotaDecided(Step &step, const quotas::QuotaResult &verdict)
 {
-    OpenRequest *request = m_state.requests.find(RequestNumber(verdict.ask.value()));
+    OpenRequest *request = m_state.requests.find(RequestNumber(verdict.queryId.value()));
     if (!request || request->stage != Stage::AwaitingQuota) {
         return;
     }
--- a/src/quotas/quotacodec.cpp
+++ b/src/quotas/quotacodec.cpp
@@ -32,7 +32,7 @@
 {
     Json::Value value;
     value["kind"] = "quota_asked";
-    value["ask"] = Json::UInt64(query.ask.value());
+    value["ask"] = Json::UInt64(query.queryId.value());
     value["organisation"] = query.organisation.text();
     value["units"] = query.units;
     return value;
@@ -53,7 +53,7 @@
 {
     Json::Value value;
     value["kind"] = "quota_answer";
-    value["ask"] = Json::UInt64(answer.ask.value());
+    value["ask"] = Json::UInt64(answer.queryId.value());
     value["granted"] = answer.isGranted;
     value["room_after_us"] = Json::Int64(answer.retryAfter.count());
     return value;
@@ -98,8 +98,8 @@
     QuotaQuery query {QuotaQueryId(numberMember(value, "ask")),
                       OrganisationName(stringMember(value, "organisation")),
                       realMember(value, "units")};
-    const bool isValid = !query.ask.isNone() && !query.organisation.isEmpty() && query.units >= 0
-        && isBounded(query.units);
+    const bool isValid = !query.queryId.isNone() && !query.organisation.isEmpty()
+        && query.units >= 0 && isBounded(query.units);
     return isValid ? std::optional<ToKeeper>(std::move(query)) : std::nullopt;
 }
 
@@ -117,15 +117,15 @@
 
 std::optional<FromKeeper> readAnswer(const Json::Value &value)
 {
-    const QuotaQueryId ask(numberMember(value, "ask"));
-    if (ask.isNone() || !value["granted"].isBool() || !value["room_after_us"].isInt64()) {
+    const QuotaQueryId queryId(numberMember(value, "ask"));
+    if (queryId.isNone() || !value["granted"].isBool() || !value["room_after_us"].isInt64()) {
         return std::nullopt;
     }
     const Duration retryAfter(value["room_after_us"].asInt64());
     if (retryAfter < Duration(0) || retryAfter > MaxRetryDelay) {
         return std::nullopt;
     }
-    return QuotaAnswer {ask, value["granted"].asBool(), retryAfter};
+    return QuotaAnswer {queryId, value["granted"].asBool(), retryAfter};
 }
 
 template <typename Message>
--- a/src/quotas/quotaenforcer.cpp
+++ b/src/quotas/quotaenforcer.cpp
@@ -44,7 +44,7 @@
     return m_keeper && !m_keeperIncarnation.isNone() && now >= m_keeperBackoffUntil;
 }
 
-QuotaDecision QuotaEnforcer::decide(TimePoint now, QuotaQueryId ask,
+QuotaDecision QuotaEnforcer::decide(TimePoint now, QuotaQueryId queryId,
                                     const OrganisationName &organisation, const Quota &quota,
                                     double units, Messages &messages)
 {
@@ -62,8 +62,8 @@
     // A scarce organisation starts with an empty local bucket if the keeper becomes unreachable
     // now.
     m_localBuckets.insert_or_assign(organisation, QuotaBucket(0, now));
-    m_pendingQueries[ask] = {organisation, quota, units, now, 1, false};
-    messages.emplace_back(QuotaQuery {ask, organisation, units});
+    m_pendingQueries[queryId] = {organisation, quota, units, now, 1, false};
+    messages.emplace_back(QuotaQuery {queryId, organisation, units});
     return {QuotaDecision::Kind::Pending, true, Duration(0)};
 }
 
@@ -77,9 +77,9 @@
     reportUsage(organisation, messages);
 }
 
-void QuotaEnforcer::abandonQuery(QuotaQueryId ask)
+void QuotaEnforcer::abandonQuery(QuotaQueryId queryId)
 {
-    const auto it = m_pendingQueries.find(ask);
+    const auto it = m_pendingQueries.find(queryId);
     if (it != m_pendingQueries.end()) {
         it->second.isAbandoned = true;
     }
@@ -101,7 +101,7 @@
         return std::nullopt;
     }
     const auto &answer = std::get<QuotaAnswer>(message);
-    const auto it = m_pendingQueries.find(answer.ask);
+    const auto it = m_pendingQueries.find(answer.queryId);
     if (it == m_pendingQueries.end()) {
         return std::nullopt;
     }
@@ -113,7 +113,7 @@
         }
         return std::nullopt;
     }
-    return QuotaResult {answer.ask, answer.isGranted, true, answer.retryAfter};
+    return QuotaResult {answer.queryId, answer.isGranted, true, answer.retryAfter};
 }
 
 std::vector<QuotaResult> QuotaEnforcer::tick(TimePoint now, Messages &messages)
@@ -125,7 +125,7 @@
         sendHeartbeat(now, messages);
     }
     bool isKeeperUnreachable = m_unansweredHeartbeats > MaxUnanswered;
-    for (auto &[ask, query] : m_pendingQueries) {
+    for (auto &[queryId, query] : m_pendingQueries) {
         if (now < query.sentAt + QueryRetryInterval) {
             continue;
         }
@@ -135,7 +135,7 @@
         }
         ++query.sendCount;
         query.sentAt = now;
-        messages.emplace_back(QuotaQuery {ask, query.organisation, query.units});
+        messages.emplace_back(QuotaQuery {queryId, query.organisation, query.units});
     }
     if (!isKeeperUnreachable) {
         return {};
@@ -150,7 +150,7 @@
         return std::nullopt;
     }
     std::optional<TimePoint> next = m_nextHeartbeatAt;
-    for (const auto &[ask, query] : m_pendingQueries) {
+    for (const auto &[queryId, query] : m_pendingQueries) {
         next = earlier(next, query.sentAt + QueryRetryInterval);
     }
     return next;
@@ -217,11 +217,11 @@
 std::vector<QuotaResult> QuotaEnforcer::decideAllLocally(TimePoint now)
 {
     std::vector<QuotaResult> results;
-    for (const auto &[ask, query] : m_pendingQueries) {
+    for (const auto &[queryId, query] : m_pendingQueries) {
         if (query.isAbandoned) {
             continue;
         }
-        QuotaResult result {ask, false, false, Duration(0)};
+        QuotaResult result {queryId, false, false, Duration(0)};
         result.isGranted =
             decideLocally(now, query.organisation, query.quota, query.units, result.retryAfter);
         results.push_back(result);
--- a/src/quotas/quotaenforcer.h
+++ b/src/quotas/quotaenforcer.h
@@ -38,7 +38,7 @@
 /** The result of a query to the keeper. */
 struct QuotaResult
 {
-    QuotaQueryId ask;
+    QuotaQueryId queryId;
     bool isGranted = false;
     bool isCounted = false; ///< As in QuotaDecision.
     Duration retryAfter {};
@@ -70,15 +70,15 @@
 
     /**
      * Decides whether a request of @p units may run.
-     * @param ask the id of the query if the keeper must be asked
+     * @param queryId the id of the query if the keeper must be asked
      * @param messages receives the messages for the keeper
      */
-    QuotaDecision decide(TimePoint now, QuotaQueryId ask, const OrganisationName &organisation,
+    QuotaDecision decide(TimePoint now, QuotaQueryId queryId, const OrganisationName &organisation,
                          const Quota &quota, double units, Messages &messages);
     /** Returns the units of a request that the keeper has counted but that did not run. */
     void returnUnits(const OrganisationName &organisation, double units, Messages &messages);
     /** Abandons a query whose caller has left; units granted for it are returned. */
-    void abandonQuery(QuotaQueryId ask);
+    void abandonQuery(QuotaQueryId queryId);
     /**
      * Handles a message from the keeper.
      * @param incarnation the incarnation of the keeper
--- a/src/quotas/quotakeeper.cpp
+++ b/src/quotas/quotakeeper.cpp
@@ -79,15 +79,15 @@
 {
     std::erase_if(state.recentAnswers,
                   [&](const auto &one) { return now > one.second.at + AnswerRetention; });
-    if (const auto it = state.recentAnswers.find(query.ask); it != state.recentAnswers.end()) {
+    if (const auto it = state.recentAnswers.find(query.queryId); it != state.recentAnswers.end()) {
         return it->second.answer;
     }
     const Quota *quota = quotaOf(view.routes, query.organisation);
     // Without a quota here the node has a different version of the configuration; a node asks only
     // for organisations that it knows to have a quota, so granting is safe.
     const QuotaAnswer result =
-        quota ? decide(now, *quota, query) : QuotaAnswer {query.ask, true, Duration(0)};
-    state.recentAnswers.emplace(query.ask, CachedAnswer {result, now});
+        quota ? decide(now, *quota, query) : QuotaAnswer {query.queryId, true, Duration(0)};
+    state.recentAnswers.emplace(query.queryId, CachedAnswer {result, now});
     return result;
 }
 
@@ -98,7 +98,7 @@
     const bool isGranted = one.bucket.take(limit, query.units);
     updateScarcity(now, query.organisation, quota);
     if (isGranted) {
-        return {query.ask, true, Duration(0)};
+        return {query.queryId, true, Duration(0)};
     }
     // Refused callers get successive retry times, so that they do not all compete for the same
     // units.
@@ -106,7 +106,7 @@
         std::max(one.lastRetryAt, now + one.bucket.timeUntilAvailable(limit, query.units));
     const RateLimit fleetLimit {quota.perSecond, quota.burst};
     one.lastRetryAt = retryAt + QuotaBucket(0, now).timeUntilAvailable(fleetLimit, query.units);
-    return {query.ask, false, retryAt - now};
+    return {query.queryId, false, retryAt - now};
 }
 
 QuotaKeeper::NodeState &QuotaKeeper::touchNode(TimePoint now, const NodeLife &from)
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -43,7 +43,7 @@
 /** Asks whether a request may be served. A repeated query gets the same answer. */
 struct QuotaQuery
 {
-    QuotaQueryId ask;
+    QuotaQueryId queryId;
     OrganisationName organisation;
     double units = 0;
     bool operator==(const QuotaQuery &) const = default;
@@ -60,7 +60,7 @@
 
 struct QuotaAnswer
 {
-    QuotaQueryId ask;
+    QuotaQueryId queryId;
     bool isGranted = false;
     Duration retryAfter {}; ///< Retry delay of a refused request.
     bool operator==(const QuotaAnswer &) const = default;
--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -166,7 +166,7 @@
         CPPUNIT_ASSERT(!play.hasCalls());
         std::vector<quotas::QuotaQueryId> asks;
         for (const quotas::ToKeeper &message : play.takeToldKeeper()) {
-            asks.push_back(std::get<quotas::QuotaQuery>(message).ask);
+            asks.push_back(std::get<quotas::QuotaQuery>(message).queryId);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, asks.size());
         const Incarnation life = keeperLife().incarnation;
--- a/tests/quotas/quotafleet.h
+++ b/tests/quotas/quotafleet.h
@@ -102,16 +102,16 @@
         if (!one.isUp) {
             return;
         }
-        const QuotaQueryId ask(++m_lastAskId);
+        const QuotaQueryId queryId(++m_lastQueryId);
         QuotaEnforcer::Messages messages;
-        const auto decision = one.enforcer->decide(now(), ask, OrganisationName("o"),
+        const auto decision = one.enforcer->decide(now(), queryId, OrganisationName("o"),
                                                    m_settings.quota, units, messages);
         send(node, std::move(messages));
         ++m_requests;
         if (decision.kind == QuotaDecision::Kind::Passed) {
             grant(units);
         } else if (decision.kind == QuotaDecision::Kind::Pending) {
-            one.waiting[ask] = units;
+            one.waiting[queryId] = units;
         }
     }
 
@@ -245,11 +245,11 @@
 
     void finishRequest(Node &node, const QuotaResult &result)
     {
-        const auto it = node.waiting.find(result.ask);
+        const auto it = node.waiting.find(result.queryId);
         if (it != node.waiting.end() && result.isGranted) {
             grant(it->second);
         }
-        node.waiting.erase(result.ask);
+        node.waiting.erase(result.queryId);
     }
 
     void tick(std::size_t node)
@@ -274,7 +274,7 @@
     std::vector<Node> m_nodes;
     std::deque<Datagram> m_datagrams;
     std::uint64_t m_incarnations = 0;
-    std::uint64_t m_lastAskId = 0;
+    std::uint64_t m_lastQueryId = 0;
     std::uint64_t m_requests = 0;
     double m_grantedUnits = 0;
     std::vector<std::pair<double, double>> m_grants; ///< Time in seconds, units.
