--- a/src/fleet/crashpublisher.cpp
+++ b/src/fleet/crashpublisher.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-void CrashPublisher::storeRecovered(TimePoint now)
+void CrashPublisher::handleStoreRecovery(TimePoint now)
 {
     m_failures = 0;
     m_nextCallAt = std::min(m_nextCallAt, now);
--- a/src/fleet/crashpublisher.h
+++ b/src/fleet/crashpublisher.h
@@ -56,7 +56,7 @@
     void notesWritten(TimePoint now);
     void callFailed(TimePoint now, StoreError error);
     /** Makes failed calls due at once when the store has become reachable again. */
-    void storeRecovered(TimePoint now);
+    void handleStoreRecovery(TimePoint now);
     std::size_t queuedCount() const { return m_queue.size(); }
 
 private:
--- a/src/fleet/leadership.cpp
+++ b/src/fleet/leadership.cpp
@@ -47,7 +47,7 @@
 std::optional<std::uint64_t> Leadership::fencingToken(TimePoint now, TimePoint renewedAt) const
 {
     if (!m_isHolder || m_recordRevision == 0 || now > renewedAt + RenewalValidity
-        || renewedAt <= m_renewalRequiredSince) {
+        || renewedAt <= m_suspendedAt) {
         return std::nullopt;
     }
     if (m_recordRevision < m_revision && now < m_holderSince + TakeoverDelay) {
--- a/src/fleet/leadership.h
+++ b/src/fleet/leadership.h
@@ -68,7 +68,7 @@
      * Handles a suspension of the process: cached state may be stale, so this node does not act
      * until its lease is renewed again.
      */
-    void requireRenewal(TimePoint now) { m_renewalRequiredSince = now; }
+    void handleSuspension(TimePoint now) { m_suspendedAt = now; }
 
 private:
     std::string m_identity;
@@ -80,7 +80,7 @@
     std::uint64_t m_recordRevision = 0;
     TimePoint m_acquireRequestedAt {};
     TimePoint m_recordRequestedAt {};
-    TimePoint m_renewalRequiredSince {};
+    TimePoint m_suspendedAt {};
 };
 
 } // namespace indigoway
--- a/src/fleet/nodeannouncer.cpp
+++ b/src/fleet/nodeannouncer.cpp
@@ -83,7 +83,7 @@
     }
 }
 
-void NodeAnnouncer::storeRecovered(TimePoint now)
+void NodeAnnouncer::handleStoreRecovery(TimePoint now)
 {
     if (m_failures > 0) {
         m_failures = 0;
--- a/src/fleet/nodeannouncer.h
+++ b/src/fleet/nodeannouncer.h
@@ -52,7 +52,7 @@
     void leaseRenewed(TimePoint now);
     void callFailed(TimePoint now, StoreError error);
     /** Makes a failed call due at once when this or another node has reached the store again. */
-    void storeRecovered(TimePoint now);
+    void handleStoreRecovery(TimePoint now);
     /** Handles the removal of the entry while this node has not revoked its lease. */
     void entryRemoved();
     /**
--- a/tests/fleet/crashpublishertest.cpp
+++ b/tests/fleet/crashpublishertest.cpp
@@ -79,7 +79,7 @@
         }
         CPPUNIT_ASSERT(calls >= 5);
         CPPUNIT_ASSERT(calls <= 9);
-        publisher.storeRecovered(at(20'000));
+        publisher.handleStoreRecovery(at(20'000));
         CPPUNIT_ASSERT(publisher.nextCall(at(20'000)));
         publisher.leaseGranted(at(20'004), StoreLease(7));
         publisher.nextCall(at(20'004));
--- a/tests/fleet/leadershiptest.cpp
+++ b/tests/fleet/leadershiptest.cpp
@@ -125,7 +125,7 @@
         Leadership leadership(Mine);
         leadership.updateHolder(&Mine, Token, at(0));
         leadership.updateRecord(Token + 1);
-        leadership.requireRenewal(at(500));
+        leadership.handleSuspension(at(500));
         CPPUNIT_ASSERT(!leadership.fencingToken(at(510), at(450)));
         CPPUNIT_ASSERT(leadership.fencingToken(at(700), at(600)).has_value());
     }
--- a/tests/store/updatelogtest.cpp
+++ b/tests/store/updatelogtest.cpp
@@ -1,6 +1,6 @@
 #include "store/updatelog.h"
 
-#include "edge/mirrorexchange.h"
+#include "edge/mirrorcodec.h"
 #include "store/mirror.h"
 #include "store/snapshotthrottle.h"
 
