--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -88,12 +88,12 @@
 {
     m_relay.setCopyAge([this] { return m_sync.copyAge(BootClock::now()); });
     m_relay.setEndedHandler([this](const dispatch::RequestEnded &ended) { m_metrics.add(ended); });
-    m_relay.setRecordHandler([this](const dispatch::RecordDecision &decision) {
+    m_relay.setRecordHandler([this](const dispatch::LogDecision &decision) {
         m_metrics.add(decision);
         record(decision.kind, {{"request", decision.callerId}, {"detail", decision.detail}});
     });
     m_relay.setCrashHandler(
-        [this](const dispatch::ShareCrash &crash) { m_sync.storeWriter().publish(crash.note); });
+        [this](const dispatch::PublishCrash &crash) { m_sync.storeWriter().publish(crash.note); });
     m_relay.setSchedulerHandler(
         [this](const scheduling::ToScheduler &message) { m_scheduling.send(message); });
     m_relay.setQuotaHandler(
@@ -150,7 +150,7 @@
     m_leavingSince = now;
     m_roster.setLeaving();
     m_relay.beginLeaving();
-    m_dispatcher.leave(now, now + m_settings.shutdownTimeout - ShutdownMargin);
+    m_dispatcher.startDrain(now, now + m_settings.shutdownTimeout - ShutdownMargin);
     m_sync.storeWriter().leave();
     record("leave", {{"open_requests", std::to_string(m_dispatcher.open())}});
 }
@@ -276,7 +276,7 @@
     record("content_refused",
            {{"content", note.content.text()},
             {"refused", note.count > 0 ? "yes" : "no"},
-            {"crashes", std::to_string(m_dispatcher.crashes().crashes(note.content))},
+            {"crashes", std::to_string(m_dispatcher.crashes().crashCount(note.content))},
             {"revision", std::to_string(revision)}});
 }
 
@@ -424,10 +424,10 @@
         {"scheduler_granted", m_scheduling.scheduler().granted()},
         {"scheduler_engines_looked", m_scheduling.scheduler().enginesLooked()},
         {"scheduler_unsent", m_scheduling.unsent()},
-        {"order_looks", m_dispatcher.orderLooks()},
+        {"order_looks", m_dispatcher.orderEvaluations()},
         {"quotas_scarce", m_scheduling.quotaKeeper().scarceCount()},
         {"contents_crashed", m_dispatcher.crashes().size()},
-        {"contents_refused", m_dispatcher.crashes().refused()},
+        {"contents_refused", m_dispatcher.crashes().refusedCount()},
         {"leaving", m_leavingSince ? 1U : 0U},
     });
 }
--- a/tests/dispatch/crashreplaytest.cpp
+++ b/tests/dispatch/crashreplaytest.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/dispatchplay.h"
+#include "dispatch/dispatcherharness.h"
 
 #include <memory>
 
@@ -16,8 +16,8 @@
 const std::string Crashing = "crashes what runs it";
 
 /**
- * Nodes before engines that crash under one content and serve all others. What a node shares, the
- * others know a while later, as by their copies of the store.
+ * Simulates nodes whose engines crash on one content and serve all others. Crash notes reach the
+ * other nodes with a delay, as with replicas of the store.
  */
 class CrashReplay
 {
@@ -29,128 +29,128 @@
         }
     }
 
-    /** A node that starts now, with what the store holds. */
+    /** Starts a node, which reads the stored notes. */
     void addNode()
     {
-        m_nodes.push_back(std::make_unique<DispatchPlay>());
-        DispatchPlay &node = *m_nodes.back();
+        m_nodes.push_back(std::make_unique<DispatcherHarness>());
+        DispatcherHarness &node = *m_nodes.back();
         node.useRoutes();
         for (const char *name : {"d1", "d2", "d3", "d4"}) {
             node.addServer(name, EnginePhase::Decode);
         }
         node.addServer("p1", EnginePhase::Prefill);
         for (const Note &note : m_notes) {
-            tell(node, note);
+            deliver(node, note);
         }
     }
 
-    /** A request from its arrival to its end; how it ended. */
+    /** Runs a request to its end and returns its outcome. */
     std::string request(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         const auto number = arrive(milliseconds, content, node);
-        DispatchPlay &play = *m_nodes.at(node);
-        while (play.hasCalls()) {
-            serve(++milliseconds, play, play.nextCall(), content == Crashing);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        while (harness.hasCalls()) {
+            serve(++milliseconds, harness, harness.nextCall(), content == Crashing);
         }
-        collect(milliseconds, play);
-        return play.outcome(number);
+        collectNotes(milliseconds, harness);
+        return harness.outcome(number);
     }
 
-    /** Up to its decode call, which is left open. */
+    /** Runs a request up to its decode call, which stays open. */
     StartCall beginDecode(int milliseconds, const std::string &content, std::size_t node = 0)
     {
         arrive(milliseconds, content, node);
-        DispatchPlay &play = *m_nodes.at(node);
-        play.grant(milliseconds, play.nextCall(CallKind::Reserve));
-        play.grant(milliseconds, play.nextCall(CallKind::Prefill));
-        return play.nextCall(CallKind::Decode);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        harness.grant(milliseconds, harness.nextCall(CallKind::Reserve));
+        harness.grant(milliseconds, harness.nextCall(CallKind::Prefill));
+        return harness.nextCall(CallKind::Decode);
     }
 
-    /** The server of @p call crashes. */
+    /** Crashes the server of @p call. */
     void crash(int milliseconds, const StartCall &call, std::size_t node = 0)
     {
-        DispatchPlay &play = *m_nodes.at(node);
-        play.lose(milliseconds, call);
-        while (play.hasCalls()) {
-            serve(milliseconds, play, play.nextCall(), false);
+        DispatcherHarness &harness = *m_nodes.at(node);
+        harness.loseConnection(milliseconds, call);
+        while (harness.hasCalls()) {
+            serve(milliseconds, harness, harness.nextCall(), false);
         }
-        collect(milliseconds, play);
+        collectNotes(milliseconds, harness);
     }
 
     int crashes() const { return m_crashes; }
-    DispatchPlay &node(std::size_t index) { return *m_nodes.at(index); }
+    DispatcherHarness &node(std::size_t index) { return *m_nodes.at(index); }
 
 private:
     struct Note
     {
-        ShareCrash crash;
+        PublishCrash crash;
         std::uint64_t revision = 0;
-        int knownFrom = 0; ///< At the other nodes.
-        bool isSpread = false;
+        int visibleAt = 0; ///< At the other nodes.
+        bool isDelivered = false;
     };
 
     RequestNumber arrive(int milliseconds, const std::string &content, std::size_t node)
     {
-        spread(milliseconds);
+        deliverDueNotes(milliseconds);
         return m_nodes.at(node)->arrive(milliseconds, "stream", Prompt, {}, content);
     }
 
-    void collect(int milliseconds, DispatchPlay &play)
+    void collectNotes(int milliseconds, DispatcherHarness &harness)
     {
-        /** From a write to the store to all copies of it. */
-        constexpr int UntilKnown = 300;
-        for (const ShareCrash &crash : play.takeShared()) {
-            m_notes.push_back({crash, ++m_revision, milliseconds + UntilKnown});
+        /** Time from a write to the store until all replicas have it. */
+        constexpr int ReplicationDelay = 300;
+        for (const PublishCrash &crash : harness.takeCrashNotes()) {
+            m_notes.push_back({crash, ++m_revision, milliseconds + ReplicationDelay});
         }
     }
 
-    void spread(int milliseconds)
+    void deliverDueNotes(int milliseconds)
     {
         for (Note &note : m_notes) {
-            if (note.isSpread || milliseconds < note.knownFrom) {
+            if (note.isDelivered || milliseconds < note.visibleAt) {
                 continue;
             }
-            note.isSpread = true;
+            note.isDelivered = true;
             for (const auto &node : m_nodes) {
-                tell(*node, note);
+                deliver(*node, note);
             }
         }
     }
 
-    static void tell(DispatchPlay &node, const Note &note)
+    static void deliver(DispatcherHarness &node, const Note &note)
     {
         node.dispatcher().crashRecorded(note.crash.note, note.revision,
-                                        DispatchPlay::at(note.knownFrom));
+                                        DispatcherHarness::at(note.visibleAt));
     }
 
-    void serve(int milliseconds, DispatchPlay &play, const StartCall &call, bool isCrashing)
+    void serve(int milliseconds, DispatcherHarness &harness, const StartCall &call, bool isCrashing)
     {
         switch (call.kind) {
         case CallKind::Reserve:
         case CallKind::Prefill:
-            play.grant(milliseconds, call);
+            harness.grant(milliseconds, call);
             return;
         case CallKind::Decode:
         case CallKind::Whole:
             if (isCrashing) {
                 ++m_crashes;
-                play.lose(milliseconds, call);
+                harness.loseConnection(milliseconds, call);
                 return;
             }
-            play.reduce(milliseconds, StreamBegan {call.call, 200, {}});
-            play.end(milliseconds, call, CallEnd::Complete, 200);
+            harness.reduce(milliseconds, StreamStarted {call.call, 200, {}});
+            harness.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         case CallKind::Probe:
-            // It is back long before the next request.
-            play.end(milliseconds, call, CallEnd::NotConnected);
+            // The server restarts long before the next request.
+            harness.end(milliseconds, call, CallEnd::NotConnected);
             return;
         default:
-            play.end(milliseconds, call, CallEnd::Complete, 200);
+            harness.end(milliseconds, call, CallEnd::Complete, 200);
             return;
         }
     }
 
-    std::vector<std::unique_ptr<DispatchPlay>> m_nodes;
+    std::vector<std::unique_ptr<DispatcherHarness>> m_nodes;
     std::vector<Note> m_notes;
     std::uint64_t m_revision = 0;
     int m_crashes = 0;
@@ -161,24 +161,20 @@
 class CrashReplayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CrashReplayTest);
-    CPPUNIT_TEST(noFourthServerEndsUnderOneRequest);
-    CPPUNIT_TEST(allNodesTogetherLoseThreeServers);
-    CPPUNIT_TEST(attemptsTooCloseToBeKnownAreFew);
-    CPPUNIT_TEST(aNodeThatStartsLaterRefusesItToo);
-    CPPUNIT_TEST(whatWaitsWhenTheVerdictComesIsNotSent);
-    CPPUNIT_TEST(aFailureOfManyServersIsOneCrashForAll);
-    CPPUNIT_TEST(anAnswerEndsTheRow);
-    CPPUNIT_TEST(aRefusalEndsByItself);
+    CPPUNIT_TEST(contentIsRefusedAfterThreeCrashes);
+    CPPUNIT_TEST(crashesAreCountedAcrossNodes);
+    CPPUNIT_TEST(burstsCauseABoundedNumberOfCrashes);
+    CPPUNIT_TEST(startingNodeRefusesCrashingContent);
+    CPPUNIT_TEST(openRequestIsRejectedAtTheCrashLimit);
+    CPPUNIT_TEST(simultaneousCrashesCountOnce);
+    CPPUNIT_TEST(answerResetsTheCrashCount);
+    CPPUNIT_TEST(refusalExpires);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A caller sends a summary that no engine survives. It gets a 502 each time and sends it again
-    // under a new id, which makes it a new request for the router; at a second's distance twelve
-    // engines ended so within thirteen seconds, and each took the streams of other callers along:
-    //   outcome=failed ... runs=1 server=i-9c620c6146 prompt=2233 events=0 status=502 closed early
-    //   outcome=failed ... runs=1 server=i-5a6f95c4b4 prompt=2233 events=0 status=502 closed early
-    // The caller must be refused once three engines have ended; all others are served as before.
-    void noFourthServerEndsUnderOneRequest()
+    // A caller repeats a request that crashes each engine, under new ids. The content must be
+    // refused after three crashes, while other requests are served.
+    void contentIsRefusedAfterThreeCrashes()
     {
         CrashReplay replay;
         constexpr int Attempts = 12;
@@ -192,8 +188,8 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // As above, with the attempts at seven nodes by turns. No node sees three crashes by itself.
-    void allNodesTogetherLoseThreeServers()
+    // As above, with the attempts at seven nodes in turn; no node observes three crashes itself.
+    void crashesAreCountedAcrossNodes()
     {
         constexpr std::size_t Nodes = 7;
         CrashReplay replay(Nodes);
@@ -209,9 +205,9 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // A burst of the same request, each at another node before that can know of the crash before.
-    // Some more servers end; three seconds after the third none does any more.
-    void attemptsTooCloseToBeKnownAreFew()
+    // Guards against an unbounded number of crashes in a burst of the same request, which arrives
+    // at other nodes before they know of the previous crash.
+    void burstsCauseABoundedNumberOfCrashes()
     {
         constexpr std::size_t Nodes = 7;
         CrashReplay replay(Nodes);
@@ -224,11 +220,11 @@
             late += i * Between > AllowedUntil ? replay.crashes() - before : 0;
         }
         CPPUNIT_ASSERT_EQUAL(0, late);
-        // A row of three, each with those that were sent before it was known.
+        // Three consecutive crashes, each with the runs that were sent before it was known.
         CPPUNIT_ASSERT(replay.crashes() <= 9);
     }
 
-    void aNodeThatStartsLaterRefusesItToo()
+    void startingNodeRefusesCrashingContent()
     {
         CrashReplay replay(2);
         for (int i = 0; i < 4; ++i) {
@@ -239,19 +235,18 @@
         CPPUNIT_ASSERT_EQUAL(3, replay.crashes());
     }
 
-    // The same content came three times at once. While the third waits for its prompt to be read,
-    // two others end their servers as the second and third in a row. It has not run, and its caller
-    // is told so.
-    void whatWaitsWhenTheVerdictComesIsNotSent()
+    // A content reaches the crash limit while another request for it is in prefill. That request
+    // must be rejected as not executed.
+    void openRequestIsRejectedAtTheCrashLimit()
     {
         CrashReplay replay;
         replay.request(0, Crashing);
         replay.request(1'000, Crashing);
-        DispatchPlay &node = replay.node(0);
+        DispatcherHarness &node = replay.node(0);
         const auto waiting = node.arrive(2'000, "stream", Prompt, {}, Crashing);
         node.grant(2'001, node.nextCall(CallKind::Reserve));
         const StartCall prefill = node.nextCall(CallKind::Prefill);
-        node.dispatcher().crashRecorded({ContentId(Crashing), 3}, 90, DispatchPlay::at(2'010));
+        node.dispatcher().crashRecorded({ContentId(Crashing), 3}, 90, DispatcherHarness::at(2'010));
         node.grant(2'100, prefill);
         CPPUNIT_ASSERT_EQUAL(text("rejected"), node.outcome(waiting));
         while (node.hasCalls()) {
@@ -261,10 +256,9 @@
         CPPUNIT_ASSERT_EQUAL(2, replay.crashes());
     }
 
-    // A rack loses power with three engines on which the same popular content runs. It has been
-    // on three servers that crashed and is not to blame: all three had it before any crash was
-    // known. Its next caller must be served.
-    void aFailureOfManyServersIsOneCrashForAll()
+    // Three servers with the same content lose power at once. The content must not be refused, as
+    // all runs started before any crash was known.
+    void simultaneousCrashesCountOnce()
     {
         CrashReplay replay(3);
         std::vector<StartCall> runs;
@@ -279,9 +273,9 @@
         }
     }
 
-    // A caller's report job repeats one content. By chance it shares servers with a request that
-    // ends them, twice; between and after it is answered. It never counts as the culprit.
-    void anAnswerEndsTheRow()
+    // A content shares servers with crashing requests, but is answered in between. It must never be
+    // refused.
+    void answerResetsTheCrashCount()
     {
         CrashReplay replay(2);
         for (int round = 0; round < 6; ++round) {
@@ -293,19 +287,19 @@
         }
     }
 
-    // The engines are mended meanwhile, or the verdict was wrong: it is not for ever.
-    void aRefusalEndsByItself()
+    // A refusal must expire.
+    void refusalExpires()
     {
         CrashReplay replay;
         for (int i = 0; i < 4; ++i) {
             replay.request(i * 4'000, Crashing);
         }
-        DispatchPlay &node = replay.node(0);
+        DispatcherHarness &node = replay.node(0);
         constexpr int Later = 11 * 60'000;
         node.reduce(Later, TimePassed {});
         const auto number = node.arrive(Later, "stream", Prompt, {}, Crashing);
         CPPUNIT_ASSERT_EQUAL(text("open"), node.outcome(number));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, node.dispatcher().crashes().refused());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, node.dispatcher().crashes().refusedCount());
     }
 };
 
--- a/tests/dispatch/dispatchplay.h
+++ b/tests/dispatch/dispatcherharness.h
@@ -11,15 +11,13 @@
 
 namespace indigoway::dispatch {
 
-/**
- * A dispatcher in virtual time, with what a test wants to ask of it. The test plays the backend
- * servers and the callers.
- */
-class DispatchPlay
+/** Runs a dispatcher in simulated time; the test acts as the backend servers and the callers. */
+class DispatcherHarness
 {
 public:
-    explicit DispatchPlay(std::optional<Duration> mostCopyAge = {}, quotas::QuotaBounds quotas = {})
-        : m_dispatcher({DomainName("d1"), RetryBounds {}, mostCopyAge, quotas}, at(-60'000))
+    explicit DispatcherHarness(std::optional<Duration> mostCopyAge = {},
+                               quotas::QuotaBounds quotas = {})
+        : m_dispatcher({DomainName("d1"), RetryBudgetSettings {}, mostCopyAge, quotas}, at(-60'000))
     {
         m_dispatcher.setNodes(4, at(-30'000));
     }
@@ -58,7 +56,10 @@
         return route;
     }
 
-    /** Routes "plain" (of @p repetition), "stream" and "resumable"; services web and llm. */
+    /**
+     * Sets the routes "plain" (of @p repetition), "stream" and "resumable", and the services web
+     * and llm.
+     */
     void useRoutes(Repetition repetition = Repetition::AtMostOnce,
                    std::vector<Organisation> organisations = {})
     {
@@ -92,14 +93,17 @@
         m_dispatcher.announce(std::move(server));
     }
 
-    /** @p content: what it asks for; empty: something that no other request asks for. */
+    /**
+     * Sends a request.
+     * @param content The content of the request; empty for a unique one.
+     */
     RequestNumber arrive(int milliseconds, const std::string &host, std::uint32_t tokens = 0,
                          std::optional<Duration> patience = {}, const std::string &content = {})
     {
         return arrive(milliseconds, host, tokens, patience, content, {}, {});
     }
 
-    /** By a caller who shows @p key, while the node's copy may be @p copyAge old. */
+    /** Sends a request with @p key to a node whose configuration is @p copyAge old. */
     RequestNumber arriveWithKey(int milliseconds, const std::string &host,
                                 const std::optional<std::string> &key,
                                 std::optional<Duration> copyAge, std::uint32_t tokens = 0)
@@ -138,38 +142,38 @@
                 m_calls.push_back(*call);
             } else if (const auto *abandoned = std::get_if<AbandonCall>(&effect)) {
                 m_abandoned.push_back(abandoned->call);
-            } else if (const auto *told = std::get_if<TellScheduler>(&effect)) {
-                m_told.push_back(told->message);
-            } else if (const auto *asked = std::get_if<TellQuotaKeeper>(&effect)) {
-                m_toldKeeper.push_back(asked->message);
-            } else if (const auto *shared = std::get_if<ShareCrash>(&effect)) {
-                m_shared.push_back(*shared);
-            } else if (const auto *recorded = std::get_if<RecordDecision>(&effect)) {
-                m_recorded[recorded->kind].push_back(recorded->detail);
+            } else if (const auto *message = std::get_if<SendToScheduler>(&effect)) {
+                m_schedulerMessages.push_back(message->message);
+            } else if (const auto *asked = std::get_if<SendToQuotaKeeper>(&effect)) {
+                m_keeperMessages.push_back(asked->message);
+            } else if (const auto *shared = std::get_if<PublishCrash>(&effect)) {
+                m_crashNotes.push_back(*shared);
+            } else if (const auto *recorded = std::get_if<LogDecision>(&effect)) {
+                m_logLines[recorded->kind].push_back(recorded->detail);
             } else if (const auto *rejected = std::get_if<RejectRequest>(&effect)) {
-                m_ends[rejected->request] = rejected->retryAfter
+                m_outcomes[rejected->request] = rejected->retryAfter
                     ? "rejected"
                     : "failed " + std::to_string(rejected->status);
                 m_statuses[rejected->request] = rejected->status;
             } else if (const auto *delivered = std::get_if<DeliverAnswer>(&effect)) {
-                m_ends[delivered->request] = "delivered";
+                m_outcomes[delivered->request] = "delivered";
             } else if (const auto *ended = std::get_if<EndStream>(&effect)) {
-                m_ends[ended->request] = "streamed";
+                m_outcomes[ended->request] = "streamed";
             } else if (const auto *broken = std::get_if<BreakStream>(&effect)) {
-                m_ends[broken->request] = "cut";
+                m_outcomes[broken->request] = "cut";
             }
         }
     }
 
-    /** Lets time pass to @p milliseconds, ticking where the dispatcher wants it. */
-    void wait(int from, int to)
+    /** Advances the time, with a TimePassed event every 10 ms. */
+    void advance(int from, int to)
     {
         for (int time = from; time <= to; time += 10) {
             reduce(time, TimePassed {});
         }
     }
 
-    /** The next call that was started and not yet looked at. */
+    /** Returns the next started call. */
     StartCall nextCall()
     {
         CPPUNIT_ASSERT_MESSAGE("a call was expected", !m_calls.empty());
@@ -178,14 +182,14 @@
         return call;
     }
 
-    /** The next message to the scheduler that was not yet looked at, which is to be of this kind.
-     */
+    /** Returns the next message to the scheduler, which must be of this type. */
     template <typename Message>
-    Message told()
+    Message nextSchedulerMessage()
     {
-        CPPUNIT_ASSERT_MESSAGE("a message to the scheduler was expected", !m_told.empty());
-        const scheduling::ToScheduler message = m_told.front();
-        m_told.pop_front();
+        CPPUNIT_ASSERT_MESSAGE("a message to the scheduler was expected",
+                               !m_schedulerMessages.empty());
+        const scheduling::ToScheduler message = m_schedulerMessages.front();
+        m_schedulerMessages.pop_front();
         CPPUNIT_ASSERT(std::holds_alternative<Message>(message));
         return std::get<Message>(message);
     }
@@ -197,7 +201,7 @@
         return call;
     }
 
-    bool hasTold() const { return !m_told.empty(); }
+    bool hasSchedulerMessage() const { return !m_schedulerMessages.empty(); }
     bool hasCalls() const { return !m_calls.empty(); }
 
     void end(int milliseconds, const StartCall &call, CallEnd how, int status = 0)
@@ -209,8 +213,8 @@
         reduce(milliseconds, ended);
     }
 
-    /** The server's side ends the connection of @p call before it has answered. */
-    void lose(int milliseconds, const StartCall &call)
+    /** Closes the connection of @p call from the server's side before the answer. */
+    void loseConnection(int milliseconds, const StartCall &call)
     {
         CallEnded ended;
         ended.call = call.call;
@@ -233,28 +237,31 @@
         reduce(milliseconds, ended);
     }
 
-    /** "open", or how the request ended. */
+    /** Returns "open" or how the request ended. */
     std::string outcome(RequestNumber request) const
     {
-        const auto it = m_ends.find(request);
-        return it == m_ends.end() ? "open" : it->second;
+        const auto it = m_outcomes.find(request);
+        return it == m_outcomes.end() ? "open" : it->second;
     }
 
-    /** Of a request that the system itself has answered; 0 if it has not. */
+    /** Returns the status of an error generated by the dispatcher; 0 if there was none. */
     int status(RequestNumber request) const
     {
         const auto it = m_statuses.find(request);
         return it == m_statuses.end() ? 0 : it->second;
     }
 
-    /** What the keeper of the quotas was told since this was asked last. */
-    std::vector<quotas::ToKeeper> takeToldKeeper() { return std::exchange(m_toldKeeper, {}); }
+    /** Returns the messages to the quota keeper since the last call. */
+    std::vector<quotas::ToKeeper> takeKeeperMessages()
+    {
+        return std::exchange(m_keeperMessages, {});
+    }
 
-    /** Details of the log lines of @p kind, so far. */
-    const std::vector<std::string> &recorded(const std::string &kind) { return m_recorded[kind]; }
+    /** Returns the details of the log lines of @p kind. */
+    const std::vector<std::string> &logLines(const std::string &kind) { return m_logLines[kind]; }
 
-    /** What the other nodes were to know since this was asked last. */
-    std::vector<ShareCrash> takeShared() { return std::exchange(m_shared, {}); }
+    /** Returns the crash notes published since the last call. */
+    std::vector<PublishCrash> takeCrashNotes() { return std::exchange(m_crashNotes, {}); }
 
     bool wasAbandoned(const StartCall &call) const
     {
@@ -268,13 +275,13 @@
     std::uint64_t m_entropy = 0;
     std::uint64_t m_lastRequest = 0;
     std::deque<StartCall> m_calls;
-    std::deque<scheduling::ToScheduler> m_told;
+    std::deque<scheduling::ToScheduler> m_schedulerMessages;
     std::vector<CallNumber> m_abandoned;
-    std::vector<quotas::ToKeeper> m_toldKeeper;
-    std::map<RequestNumber, std::string> m_ends;
+    std::vector<quotas::ToKeeper> m_keeperMessages;
+    std::map<RequestNumber, std::string> m_outcomes;
     std::map<RequestNumber, int> m_statuses;
-    std::map<std::string, std::vector<std::string>> m_recorded;
-    std::vector<ShareCrash> m_shared;
+    std::map<std::string, std::vector<std::string>> m_logLines;
+    std::vector<PublishCrash> m_crashNotes;
 };
 
 } // namespace indigoway::dispatch
--- a/tests/edge/edgemetricstest.cpp
+++ b/tests/edge/edgemetricstest.cpp
@@ -23,7 +23,7 @@
         metrics.add(ended);
         ended.outcome = RequestOutcome::Rejected;
         metrics.add(ended);
-        metrics.add(RecordDecision {"retry", "c1", "why"});
+        metrics.add(LogDecision {"retry", "c1", "why"});
         const std::string text = metrics.prometheusText({{"requests_open", 7}});
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"served\"} 2\n");
         expect(text, "indigoway_requests_total{sort=\"generation\",outcome=\"rejected\"} 1\n");
@@ -54,8 +54,8 @@
         EdgeMetrics metrics;
         for (const int milliseconds : {0, 5, 50, 500, 200'000}) {
             RequestEnded ended;
-            ended.whole = std::chrono::milliseconds(milliseconds);
-            ended.untilFirst = ended.whole;
+            ended.totalTime = std::chrono::milliseconds(milliseconds);
+            ended.timeToFirstAnswer = ended.totalTime;
             metrics.add(ended);
         }
         const std::string text = metrics.prometheusText({});
