--- a/src/dispatch/crashdetector.cpp
+++ b/src/dispatch/crashdetector.cpp
@@ -7,7 +7,8 @@
 void CrashDetector::connectionLost(Step &step, const OpenCall &call, const OpenRequest &request)
 {
     const ServerName &server = call.server.name;
-    const bool isLeaving = m_state.servers.standing(server, step.now) == Standing::Leaving;
+    const bool isLeaving =
+        m_state.servers.availability(server, step.now) == ServerAvailability::Leaving;
     if (isLeaving) {
         return; // The shutdown of a draining server is expected.
     }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -46,7 +46,7 @@
                           : quota.plainCost;
 }
 
-void sendToKeeper(Step &step, quotas::QuotaGate::Messages messages)
+void sendToKeeper(Step &step, quotas::QuotaEnforcer::Messages messages)
 {
     for (quotas::ToKeeper &message : messages) {
         step.add(SendToQuotaKeeper {std::move(message)});
@@ -67,7 +67,7 @@
 {
     m_table = std::move(table);
     m_hasNewRoutes = true;
-    m_quotas.setWanted(
+    m_quotas.setEnabled(
         std::ranges::any_of(m_table->organisations(), [](const Organisation &organisation) {
             return organisation.quota.has_value();
         }));
@@ -82,7 +82,7 @@
 void Dispatcher::setNodes(std::uint32_t nodes, TimePoint now)
 {
     m_state.nodes = nodes;
-    m_quotas.setNodes(nodes);
+    m_quotas.setNodeCount(nodes);
     m_state.nodesUpdatedAt = now;
     for (auto &[service, retryBudget] : m_state.retryBudgets) {
         retryBudget.setNodes(nodes, now);
@@ -174,7 +174,7 @@
     if (request.route) {
         return true;
     }
-    if (isNewEnough(arrival.copyAge, m_state.settings.mostCopyAge)) {
+    if (isFreshEnough(arrival.copyAge, m_state.settings.mostCopyAge)) {
         rejectArrival(step, arrival, NotFound, std::nullopt,
                       "no route version=" + std::to_string(m_table->version()));
     } else {
@@ -234,9 +234,9 @@
     }
     const Quota &quota = *request.organisation->quota;
     const double units = quotaUnitsOf(quota, request.arrival);
-    quotas::QuotaGate::Messages messages;
+    quotas::QuotaEnforcer::Messages messages;
     const quotas::QuotaDecision decision =
-        m_quotas.decide(step.now, quotas::QuotaAskId(request.arrival.request.value()),
+        m_quotas.decide(step.now, quotas::QuotaQueryId(request.arrival.request.value()),
                         request.organisation->name, quota, units, messages);
     sendToKeeper(step, std::move(messages));
     switch (decision.kind) {
@@ -244,33 +244,33 @@
         request.quotaUnits = decision.isCounted ? units : 0;
         flowOf(request).begin(step, request);
         return;
-    case quotas::QuotaDecision::Kind::Asked:
+    case quotas::QuotaDecision::Kind::Pending:
         request.stage = Stage::AwaitingQuota;
         return;
     case quotas::QuotaDecision::Kind::Refused:
-        rejectOverQuota(step, request, decision.roomAfter);
+        rejectOverQuota(step, request, decision.retryAfter);
         return;
     }
 }
 
 void Dispatcher::handle(Step &step, const QuotaKeeperAnswered &event)
 {
-    quotas::QuotaGate::Messages messages;
-    const auto verdict = m_quotas.answered(step.now, event.message, event.life, messages);
+    quotas::QuotaEnforcer::Messages messages;
+    const auto verdict = m_quotas.handleMessage(step.now, event.message, event.life, messages);
     sendToKeeper(step, std::move(messages));
     if (verdict) {
         quotaDecided(step, *verdict);
     }
 }
 
-void Dispatcher::quotaDecided(Step &step, const quotas::QuotaVerdict &verdict)
+void Dispatcher::quotaDecided(Step &step, const quotas::QuotaResult &verdict)
 {
-    OpenRequest *request = m_state.requests.find(RequestNumber(verdict.ask.value()));
+    OpenRequest *request = m_state.requests.find(RequestNumber(verdict.queryId.value()));
     if (!request || request->stage != Stage::AwaitingQuota) {
         return;
     }
     if (!verdict.isGranted) {
-        rejectOverQuota(step, *request, verdict.roomAfter);
+        rejectOverQuota(step, *request, verdict.retryAfter);
         return;
     }
     request->stage = Stage::Calling;
@@ -288,7 +288,7 @@
         "over quota units=" + std::to_string(quotaUnitsOf(quota, request.arrival))
         + " per_s=" + std::to_string(quota.perSecond) + " burst=" + std::to_string(quota.burst)
         + " room_after_ms=" + millisecondsText(roomAfter)
-        + " keeper=" + (m_quotas.hearsKeeper(step.now) ? "heard" : "silent");
+        + " keeper=" + (m_quotas.isKeeperReachable(step.now) ? "heard" : "silent");
     m_state.requests.refuse(step, request,
                             {TooManyRequests, RequestOutcome::OverQuota,
                              step.jitter(std::max(roomAfter, MinQuotaRetryDelay)), reason});
@@ -296,13 +296,13 @@
 
 void Dispatcher::tickQuotas(Step &step)
 {
-    quotas::QuotaGate::Messages messages;
+    quotas::QuotaEnforcer::Messages messages;
     for (const OpenRequests::UnusedQuota &unused : m_state.requests.takeUnusedQuota()) {
-        m_quotas.giveBack(unused.organisation, unused.units, messages);
+        m_quotas.returnUnits(unused.organisation, unused.units, messages);
     }
     const auto verdicts = m_quotas.tick(step.now, messages);
     sendToKeeper(step, std::move(messages));
-    for (const quotas::QuotaVerdict &verdict : verdicts) {
+    for (const quotas::QuotaResult &verdict : verdicts) {
         quotaDecided(step, verdict);
     }
 }
@@ -314,7 +314,7 @@
         return;
     }
     m_timeouts.clear(event.request);
-    m_quotas.dropQuestion(quotas::QuotaAskId(event.request.value()));
+    m_quotas.abandonQuery(quotas::QuotaQueryId(event.request.value()));
     flowOf(*request).release(step, *request);
     m_state.requests.closeDisconnected(step, *request);
 }
@@ -386,7 +386,7 @@
             timeOut(step, *request);
         }
     }
-    for (const ServerName &name : m_state.servers.forgetVanished(step.now)) {
+    for (const ServerName &name : m_state.servers.purgeWithdrawn(step.now)) {
         forget(name);
     }
     m_state.crashes.removeExpired(step.now);
@@ -412,7 +412,7 @@
 void Dispatcher::timeOut(Step &step, OpenRequest &request)
 {
     const bool mayHaveExecuted = request.mayHaveExecuted();
-    m_quotas.dropQuestion(quotas::QuotaAskId(request.arrival.request.value()));
+    m_quotas.abandonQuery(quotas::QuotaQueryId(request.arrival.request.value()));
     flowOf(request).release(step, request);
     if (request.isForwarding) {
         m_state.requests.abortStream(step, request, "time is up");
@@ -455,7 +455,7 @@
     for (const RequestNumber number : numbers) {
         OpenRequest &request = *m_state.requests.find(number);
         flowOf(request).release(step, request);
-        m_quotas.dropQuestion(quotas::QuotaAskId(number.value()));
+        m_quotas.abandonQuery(quotas::QuotaQueryId(number.value()));
         m_state.requests.refuse(step, request,
                                 {Unauthorized, RequestOutcome::Rejected, std::nullopt,
                                  "its key was taken away while it waited"});
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -91,7 +91,7 @@
     bool isAcceptable(Step &step, const OpenRequest &request);
     /** Starts @p request if the quota of its organisation allows it. */
     void serveWithinQuota(Step &step, OpenRequest &request);
-    void quotaDecided(Step &step, const quotas::QuotaVerdict &verdict);
+    void quotaDecided(Step &step, const quotas::QuotaResult &verdict);
     void rejectOverQuota(Step &step, OpenRequest &request, Duration roomAfter);
     /** Returns unused quota, sends due messages and applies due decisions. */
     void tickQuotas(Step &step);
@@ -110,7 +110,7 @@
     GenerationFlow m_generations;
     CrashDetector m_crashDetector;
     std::shared_ptr<const RouteTable> m_table;
-    quotas::QuotaGate m_quotas;
+    quotas::QuotaEnforcer m_quotas;
     bool m_hasNewRoutes = false; ///< Since the last TimePassed event.
     Deadlines<RequestNumber> m_timeouts;
     std::optional<TimePoint> m_nextTick;
--- a/src/dispatch/generationflow.cpp
+++ b/src/dispatch/generationflow.cpp
@@ -249,7 +249,8 @@
         m_phases.updateWork(request->service->name, *granted->work);
     }
     const AnnouncedServer *server = m_state.servers.find(granted->decodeServer);
-    if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
+    if (!server
+        || m_state.servers.availability(server->name, step.now) == ServerAvailability::Leaving) {
         // The local server list is newer than the grant.
         m_claims.end(step, *request, scheduling::ClaimOutcome::Cancelled);
         request->triedServers.insert(granted->decodeServer);
@@ -356,7 +357,7 @@
     const ServerName planned = std::exchange(request.plannedPrefill, {});
     const AnnouncedServer *server = m_state.servers.find(planned);
     const bool isAvailable = server && !request.triedServers.contains(planned)
-        && m_state.servers.standing(planned, step.now) != Standing::Leaving
+        && m_state.servers.availability(planned, step.now) != ServerAvailability::Leaving
         && !m_placement.isFaultySource(planned, step.now);
     return isAvailable ? server : nullptr;
 }
@@ -390,7 +391,8 @@
 void GenerationFlow::decode(Step &step, OpenRequest &request, bool isWhole)
 {
     const AnnouncedServer *server = m_state.servers.find(request.decodeServer);
-    if (!server || m_state.servers.standing(server->name, step.now) == Standing::Leaving) {
+    if (!server
+        || m_state.servers.availability(server->name, step.now) == ServerAvailability::Leaving) {
         request.triedServers.insert(request.decodeServer);
         releaseResources(step, request, ClaimOutcome::Cancelled);
         enqueue(step, request);
--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -186,8 +186,8 @@
     dependencies.itemChanged = [&node](const std::string &key, const StoredItem *item) {
         node.handleStoreChange(key, item);
     };
-    dependencies.roster = [&node]() -> const NodeRoster & {
-        node.m_roster.forgetVanished(steadyNow());
+    dependencies.roster = [&node]() -> const NodeDirectory & {
+        node.m_roster.purgeWithdrawn(steadyNow());
         return node.m_roster;
     };
     dependencies.seeds = [&node] {
@@ -214,7 +214,7 @@
 {
     SchedulingEndpoint::Dependencies dependencies;
     dependencies.schedulerAddress = [&node] {
-        return node.m_scheduler ? std::optional(node.m_scheduler->scheduling) : std::nullopt;
+        return node.m_scheduler ? std::optional(node.m_scheduler->schedulingAddress) : std::nullopt;
     };
     dependencies.view = [&node]() -> std::optional<scheduling::EngineScheduler::View> {
         const RouteTable *routes = node.m_dispatcher.routes();
@@ -237,7 +237,7 @@
 
 void EdgeNode::updateScheduler(TimePoint now)
 {
-    m_roster.forgetVanished(now);
+    m_roster.purgeWithdrawn(now);
     auto chosen =
         m_settings.scheduling.empty() ? std::nullopt : scheduling::schedulerOf(m_roster.members());
     if (chosen == m_scheduler) {
@@ -260,7 +260,7 @@
         applyServerChange(key, item ? &item->value : nullptr);
     } else if (key.starts_with(m_adapters.layout.nodesPrefix)) {
         applyNodeChange(key, item);
-    } else if (const auto note = crashNoteIn(m_adapters.layout.crashesPrefix, key)) {
+    } else if (const auto note = parseCrashKey(m_adapters.layout.crashesPrefix, key)) {
         // An expired note needs no handling: the node's own crash records expire as early.
         if (item) {
             applyCrashNote(*note, item->revision);
@@ -359,7 +359,7 @@
         return;
     }
     if (m_sync.isKnown()) {
-        record("node", {{"key", key}, {"callers", entry->callers}});
+        record("node", {{"key", key}, {"callers", entry->callerAddress}});
     }
     entry->announcedSince = item->created;
     entry->announcedAt = item->revision;
@@ -425,7 +425,7 @@
         {"scheduler_engines_looked", m_scheduling.scheduler().enginesExamined()},
         {"scheduler_unsent", m_scheduling.unsent()},
         {"order_looks", m_dispatcher.orderEvaluations()},
-        {"quotas_scarce", m_scheduling.quotaKeeper().scarce()},
+        {"quotas_scarce", m_scheduling.quotaKeeper().scarceCount()},
         {"contents_crashed", m_dispatcher.crashes().size()},
         {"contents_refused", m_dispatcher.crashes().refusedCount()},
         {"leaving", m_leavingSince ? 1U : 0U},
@@ -471,7 +471,7 @@
         return;
     }
     const auto age = m_sync.copyAge(BootClock::now());
-    const bool isFresh = isNewEnough(age, maxAge);
+    const bool isFresh = isFreshEnough(age, maxAge);
     if (isFresh == m_isCopyFresh) {
         return;
     }
--- a/src/edge/edgenode.h
+++ b/src/edge/edgenode.h
@@ -7,7 +7,7 @@
 #include "edge/statecodec.h"
 #include "edge/statesync.h"
 #include "edge/structuredlog.h"
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
@@ -106,7 +106,7 @@
     Incarnation m_incarnation;
     StructuredLog m_log;
     EdgeMetrics m_metrics;
-    NodeRoster m_roster;
+    NodeDirectory m_roster;
     dispatch::Dispatcher m_dispatcher;
     RequestRelay m_relay;
     StateSync m_sync;
--- a/src/edge/mirrorcodec.cpp
+++ b/src/edge/mirrorcodec.cpp
@@ -116,10 +116,10 @@
     return change;
 }
 
-bool isValid(const MirrorNews &news)
+bool isValid(const MirrorUpdate &news)
 {
     for (const StoredChange &change : news.changes) {
-        if (change.key.empty() || (news.isWhole && !change.value)) {
+        if (change.key.empty() || (news.isSnapshot && !change.value)) {
             return false;
         }
     }
@@ -151,7 +151,7 @@
 
 } // namespace
 
-NewsBlock encodeNews(const MirrorNews &news)
+EncodedUpdate encodeUpdate(const MirrorUpdate &news)
 {
     msgpack::sbuffer buffer;
     Packer packer(buffer);
@@ -159,26 +159,27 @@
     packer.pack(Version);
     packer.pack(news.after);
     packer.pack(news.asOf);
-    packer.pack(news.isWhole);
+    packer.pack(news.isSnapshot);
     packer.pack_array(static_cast<std::uint32_t>(news.changes.size()));
     for (const StoredChange &change : news.changes) {
         packChange(packer, change);
     }
-    return {news.after, news.asOf, news.isWhole,
+    return {news.after, news.asOf, news.isSnapshot,
             std::make_shared<const std::string>(compress(viewOf(buffer)))};
 }
 
-std::optional<MirrorNews> decodeNews(const std::string &bytes)
+std::optional<MirrorUpdate> decodeUpdate(const std::string &bytes)
 {
     const auto text = decompress(bytes);
     if (!text) {
         return std::nullopt;
     }
-    auto news = unpackMembers<MirrorNews>(*text, BlockMembers, [](const msgpack::object *members) {
-        return MirrorNews {members[After].as<std::uint64_t>(), members[AsOf].as<std::uint64_t>(),
-                           members[IsWhole].as<bool>(),
-                           readList<StoredChange>(members[Changes], readChange)};
-    });
+    auto news =
+        unpackMembers<MirrorUpdate>(*text, BlockMembers, [](const msgpack::object *members) {
+            return MirrorUpdate {members[After].as<std::uint64_t>(),
+                                 members[AsOf].as<std::uint64_t>(), members[IsWhole].as<bool>(),
+                                 readList<StoredChange>(members[Changes], readChange)};
+        });
     return news && isValid(*news) ? std::move(news) : std::nullopt;
 }
 
--- a/src/edge/mirrorcodec.h
+++ b/src/edge/mirrorcodec.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "store/mirror.h"
-#include "store/newslog.h"
+#include "store/updatelog.h"
 
 #include <optional>
 #include <string>
@@ -25,9 +25,9 @@
  * Encodes one block of changes as MessagePack compressed with zstd. Decoders ignore members that
  * later versions append to an array.
  */
-NewsBlock encodeNews(const MirrorNews &news);
+EncodedUpdate encodeUpdate(const MirrorUpdate &news);
 /** Decodes one block of changes; returns nothing if @p bytes are malformed. */
-std::optional<MirrorNews> decodeNews(const std::string &bytes);
+std::optional<MirrorUpdate> decodeUpdate(const std::string &bytes);
 
 std::string encodeResponse(const MirrorResponse &response);
 /** Decodes a response; returns nothing if @p bytes are malformed. */
--- a/src/edge/mirrorresponder.cpp
+++ b/src/edge/mirrorresponder.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-MirrorResponder::MirrorResponder(const Mirror &mirror, const CopyProof &proof,
+MirrorResponder::MirrorResponder(const Mirror &mirror, const StalenessBound &proof,
                                  double linkBytesPerSecond, Duration maxHoldTime)
     : m_mirror(mirror)
     , m_proof(proof)
@@ -27,9 +27,9 @@
 
 void MirrorResponder::addStoreUpdates(Mirror &mirror)
 {
-    if (const auto heard = mirror.takeHeard()) {
-        m_newsLog.add(encodeNews(*heard));
-    } else if (m_newsLog.upTo() < mirror.asOf()) {
+    if (const auto heard = mirror.takeStoreUpdate()) {
+        m_newsLog.add(encodeUpdate(*heard));
+    } else if (m_newsLog.asOf() < mirror.asOf()) {
         m_newsLog.startAt(mirror.asOf());
     }
 }
@@ -57,26 +57,26 @@
 
 bool MirrorResponder::hasUpdateFor(const LongPoll &poll) const
 {
-    return m_mirror.isKnown() && m_mirror.asOf() > poll.revision;
+    return m_mirror.isLoaded() && m_mirror.asOf() > poll.revision;
 }
 
 std::string MirrorResponder::buildResponse(const LongPoll &poll, TimePoint now, BootTime bootNow)
 {
     MirrorResponse response;
     response.heldFor = bootNow - poll.arrivedAt;
-    if (m_newsLog.needsWhole(poll.revision) && !m_copyTurns.mayBegin(now)) {
+    if (m_newsLog.needsSnapshot(poll.revision) && !m_copyTurns.mayStart(now)) {
         response.alternativePeers = {m_followers.begin(), m_followers.end()};
         return encodeResponse(response);
     }
     const auto blocks =
-        m_newsLog.since(poll.revision, [this] { return encodeNews(m_mirror.whole()); });
-    for (const NewsBlock &block : blocks) {
+        m_newsLog.since(poll.revision, [this] { return encodeUpdate(m_mirror.snapshot()); });
+    for (const EncodedUpdate &block : blocks) {
         response.blocks.push_back(*block.bytes);
-        if (block.isWhole) {
-            m_copyTurns.begin(now, block.bytes->size());
+        if (block.isSnapshot) {
+            m_copyTurns.start(now, block.bytes->size());
         }
     }
-    if (blocks.empty() || blocks.back().upTo == m_mirror.asOf()) {
+    if (blocks.empty() || blocks.back().asOf == m_mirror.asOf()) {
         response.age = m_proof.age(bootNow);
     }
     if (poll.revision > 0 || !blocks.empty()) {
--- a/src/edge/mirrorresponder.h
+++ b/src/edge/mirrorresponder.h
@@ -2,10 +2,10 @@
 
 #include "edge/mirrorcodec.h"
 #include "http/httpserver.h"
-#include "store/copyproof.h"
-#include "store/copyturns.h"
 #include "store/mirror.h"
-#include "store/newslog.h"
+#include "store/snapshotthrottle.h"
+#include "store/stalenessbound.h"
+#include "store/updatelog.h"
 
 #include <cstdint>
 #include <deque>
@@ -27,7 +27,7 @@
     };
 
     /** @param maxHoldTime How long a poll is held if there are no changes. */
-    MirrorResponder(const Mirror &mirror, const CopyProof &proof, double linkBytesPerSecond,
+    MirrorResponder(const Mirror &mirror, const StalenessBound &proof, double linkBytesPerSecond,
                     Duration maxHoldTime);
 
     /** Adds a poll of the node at @p control for changes after @p revision. */
@@ -35,7 +35,7 @@
                  TimePoint now, BootTime arrivedAt);
     void cancelPoll(ExchangeNumber exchange) { m_polls.erase(exchange); }
     /** Adds a block that another node has sent, as it came. */
-    void addPeerUpdate(NewsBlock block) { m_newsLog.add(std::move(block)); }
+    void addPeerUpdate(EncodedUpdate block) { m_newsLog.add(std::move(block)); }
     /** Adds what the store has sent the mirror. */
     void addStoreUpdates(Mirror &mirror);
     /**
@@ -61,10 +61,10 @@
     void rememberFollower(const std::string &control);
 
     const Mirror &m_mirror;
-    const CopyProof &m_proof;
+    const StalenessBound &m_proof;
     Duration m_maxHoldTime;
-    NewsLog m_newsLog;
-    CopyTurns m_copyTurns;
+    UpdateLog m_newsLog;
+    SnapshotThrottle m_copyTurns;
     std::map<ExchangeNumber, LongPoll> m_polls;
     std::deque<std::string> m_followers; ///< Control addresses, the latest last.
 };
--- a/src/edge/statesync.cpp
+++ b/src/edge/statesync.cpp
@@ -78,7 +78,7 @@
 
 void StateSync::updateStoreWriter()
 {
-    const NodeRoster &roster = m_dependencies.roster();
+    const NodeDirectory &roster = m_dependencies.roster();
     StoreWriter::NodeStatus status;
     status.isCurrent = m_isCurrent;
     status.isWatcher = m_upstreamChoice.isWatcher(roster);
@@ -119,12 +119,12 @@
     if (m_mirror.isBusy(now)) {
         return;
     }
-    const NodeRoster &roster = m_dependencies.roster();
+    const NodeDirectory &roster = m_dependencies.roster();
     const bool isLongListing =
-        !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamSelector::MaxStorePages;
     const std::optional<Upstream> upstream = isLongListing
-        ? m_upstreamChoice.chooseForFirstCopy(now, roster, m_dependencies.seeds(),
-                                              m_dependencies.isSeed())
+        ? m_upstreamChoice.chooseForSnapshot(now, roster, m_dependencies.seeds(),
+                                             m_dependencies.isSeed())
         : m_upstreamChoice.choose(now, roster, m_dependencies.seeds());
     if (!upstream) {
         return;
@@ -146,22 +146,22 @@
         if (list->after.empty()) {
             m_listingStartedAt = BootClock::now();
         }
-        m_store.list(m_mirror.prefix(), list->after,
-                     [this, upstream, generation](const auto &result) {
-                         if (generation != m_mirror.generation()) {
-                             return;
-                         }
-                         if (const auto *fault = std::get_if<StoreFault>(&result)) {
-                             handleCallFailure(upstream, *fault);
-                             return;
-                         }
-                         m_mirror.listed(std::get<StoredPage>(result));
-                         m_responder.addStoreUpdates(m_mirror);
-                         if (!m_mirror.isListing()) {
-                             m_proof.answered(m_listingStartedAt, m_mirror.asOf(), m_mirror.asOf());
-                         }
-                         handleCallSuccess(upstream);
-                     });
+        m_store.list(
+            m_mirror.prefix(), list->after, [this, upstream, generation](const auto &result) {
+                if (generation != m_mirror.generation()) {
+                    return;
+                }
+                if (const auto *fault = std::get_if<StoreError>(&result)) {
+                    handleCallFailure(upstream, *fault);
+                    return;
+                }
+                m_mirror.applyPage(std::get<StoredPage>(result));
+                m_responder.addStoreUpdates(m_mirror);
+                if (!m_mirror.isListing()) {
+                    m_proof.revisionRead(m_listingStartedAt, m_mirror.asOf(), m_mirror.asOf());
+                }
+                handleCallSuccess(upstream);
+            });
         return;
     }
     ++m_callCounts.watches;
@@ -171,11 +171,11 @@
                       if (generation != m_mirror.generation()) {
                           return;
                       }
-                      if (const auto *fault = std::get_if<StoreFault>(&result)) {
+                      if (const auto *fault = std::get_if<StoreError>(&result)) {
                           handleCallFailure(upstream, *fault);
                           return;
                       }
-                      m_mirror.watched(steadyNow(), std::get<StoredChanges>(result));
+                      m_mirror.applyWatch(steadyNow(), std::get<StoredChanges>(result));
                       m_responder.addStoreUpdates(m_mirror);
                       handleCallSuccess(upstream);
                   });
@@ -187,8 +187,8 @@
     HttpCall call;
     call.address = *upstream.peer;
     call.path = "/v1/mirror?after=" + std::to_string(m_mirror.beginPeerCall())
-        + "&from=" + m_dependencies.self.control;
-    call.timeout = m_mirror.isKnown() ? PeerTimeout : FullCopyTimeout;
+        + "&from=" + m_dependencies.self.controlAddress;
+    call.timeout = m_mirror.isLoaded() ? PeerTimeout : FullCopyTimeout;
     call.traffic = Traffic::Peers;
     const BootTime askedAt = BootClock::now();
     m_client.start(std::move(call),
@@ -198,12 +198,12 @@
                        }
                        constexpr int Ok = 200;
                        if (answer.end != HttpAnswer::End::Complete || answer.status != Ok) {
-                           handleCallFailure(upstream, StoreFault::Unanswered);
+                           handleCallFailure(upstream, StoreError::Unanswered);
                            return;
                        }
                        const auto response = decodeResponse(answer.body);
                        if (!response) {
-                           handleCallFailure(upstream, StoreFault::Refused);
+                           handleCallFailure(upstream, StoreError::Refused);
                            return;
                        }
                        handlePeerResponse(upstream, askedAt, *response);
@@ -215,38 +215,38 @@
 {
     for (const std::string &block : response.blocks) {
         if (!applyBlock(block)) {
-            handleCallFailure(upstream, StoreFault::Refused);
+            handleCallFailure(upstream, StoreError::Refused);
             return;
         }
     }
-    m_mirror.peerAnswered();
-    if (!m_mirror.isKnown()) {
+    m_mirror.completePeerCall();
+    if (!m_mirror.isLoaded()) {
         // The peer is too busy to send a full copy, which is no failure.
-        m_upstreamChoice.referred(steadyNow(), upstream, response.alternativePeers);
+        m_upstreamChoice.handleReferral(steadyNow(), upstream, response.alternativePeers);
         startNextMirrorCall();
         return;
     }
     if (response.age) {
-        m_proof.told(askedAt, BootClock::now(), response.heldFor, *response.age);
+        m_proof.peerAnswered(askedAt, BootClock::now(), response.heldFor, *response.age);
     }
     handleCallSuccess(upstream);
 }
 
 bool StateSync::applyBlock(const std::string &bytes)
 {
-    const auto news = decodeNews(bytes);
-    if (!news || !m_mirror.told(*news)) {
+    const auto news = decodeUpdate(bytes);
+    if (!news || !m_mirror.applyUpdate(*news)) {
         return false;
     }
     m_responder.addPeerUpdate(
-        {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(bytes)});
+        {news->after, news->asOf, news->isSnapshot, std::make_shared<const std::string>(bytes)});
     return true;
 }
 
 void StateSync::handleCallSuccess(const Upstream &upstream)
 {
-    m_upstreamChoice.succeeded(upstream);
-    m_proof.copied(m_mirror.asOf());
+    m_upstreamChoice.reportSuccess(upstream);
+    m_proof.copyAdvanced(m_mirror.asOf());
     if (!m_isCurrent) {
         m_isCurrent = true;
         m_storeWriter.handleStoreRecovery(steadyNow());
@@ -258,13 +258,13 @@
     startNextMirrorCall();
 }
 
-void StateSync::handleCallFailure(const Upstream &upstream, StoreFault fault)
+void StateSync::handleCallFailure(const Upstream &upstream, StoreError fault)
 {
-    m_mirror.failed(steadyNow(), fault);
-    if (fault == StoreFault::HistoryGone) {
-        m_upstreamChoice.succeeded(upstream);
+    m_mirror.callFailed(steadyNow(), fault);
+    if (fault == StoreError::HistoryGone) {
+        m_upstreamChoice.reportSuccess(upstream);
     } else {
-        m_upstreamChoice.failed(steadyNow(), upstream);
+        m_upstreamChoice.reportFailure(steadyNow(), upstream);
         if (std::exchange(m_isCurrent, false)) {
             m_failoverUntil = steadyNow() + FailoverGracePeriod;
         }
@@ -292,12 +292,12 @@
                  [this, interval, askedAt = BootClock::now()](const auto &result) {
                      m_isProofPending = false;
                      if (const auto *page = std::get_if<StoredPage>(&result)) {
-                         m_proof.answered(askedAt, page->asOf, m_mirror.asOf());
+                         m_proof.revisionRead(askedAt, page->asOf, m_mirror.asOf());
                          m_nextProofAt = steadyNow() + interval;
                      } else {
                          m_nextProofAt = steadyNow() + std::min(ProofRetryDelay, interval);
                          m_dependencies.record("copy_not_proven",
-                                               nameOf(std::get<StoreFault>(result)));
+                                               nameOf(std::get<StoreError>(result)));
                      }
                  });
 }
--- a/src/edge/statesync.h
+++ b/src/edge/statesync.h
@@ -2,12 +2,12 @@
 
 #include "edge/mirrorresponder.h"
 #include "edge/storewriter.h"
-#include "fleet/upstreamchoice.h"
+#include "fleet/upstreamselector.h"
 #include "http/eventbase.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
-#include "store/copyproof.h"
 #include "store/mirror.h"
+#include "store/stalenessbound.h"
 
 #include <functional>
 #include <string>
@@ -31,7 +31,7 @@
         /** Handles the change of an item; the item is null if it was removed. */
         std::function<void(const std::string &key, const StoredItem *item)> itemChanged;
         StoreWriter::RecordHandler record;
-        std::function<const NodeRoster &()> roster;
+        std::function<const NodeDirectory &()> roster;
         std::function<std::vector<std::string>()> seeds; ///< Control addresses from the settings.
         /** Whether this node is a seed in the settings of other nodes. */
         std::function<bool()> isSeed;
@@ -52,7 +52,7 @@
     /** @param self The entry to announce, with the bound addresses. */
     void start(const NodeEntry &self);
     /** Returns whether there is a full copy of the store. */
-    bool isKnown() const { return m_mirror.isKnown(); }
+    bool isKnown() const { return m_mirror.isLoaded(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
     /** Returns the maximum age of the copy at @p now; nothing if it is unknown. */
     std::optional<Duration> copyAge(BootTime now) const { return m_proof.age(now); }
@@ -80,7 +80,7 @@
     /** Applies a block of changes to the copy; returns false if it is malformed or has a gap. */
     bool applyBlock(const std::string &bytes);
     void handleCallSuccess(const Upstream &upstream);
-    void handleCallFailure(const Upstream &upstream, StoreFault fault);
+    void handleCallFailure(const Upstream &upstream, StoreError fault);
     /** Asks the store for its revision if it is time to check that the copy is up to date. */
     void startDueProof();
     /** Passes this node's current status to the store writer. */
@@ -96,12 +96,12 @@
     Dependencies m_dependencies;
     EventHandle m_timer;
     Mirror m_mirror;
-    CopyProof m_proof;
+    StalenessBound m_proof;
     MirrorResponder m_responder;
     TimePoint m_nextProofAt {};
     bool m_isProofPending = false;
     BootTime m_listingStartedAt {}; ///< Time of the request for the first page.
-    UpstreamChoice m_upstreamChoice;
+    UpstreamSelector m_upstreamChoice;
     StoreCallCounts m_callCounts;
     StoreWriter m_storeWriter;
     bool m_isCurrent = false;     ///< Whether the last call for changes succeeded.
--- a/src/edge/storewriter.cpp
+++ b/src/edge/storewriter.cpp
@@ -37,13 +37,13 @@
                                std::uint64_t revision, TimePoint now)
 {
     if (!value && key == m_dependencies.nodeKey) {
-        m_announcer.entryVanished();
+        m_announcer.entryRemoved();
     }
     if (key == m_dependencies.ordersRecordKey && value) {
-        m_leadership.recordSeen(revision);
+        m_leadership.updateRecord(revision);
     }
     if (key == m_dependencies.ordersLeaderKey) {
-        m_leadership.holderSeen(value, revision, now);
+        m_leadership.updateHolder(value, revision, now);
         m_dependencies.record("order_right",
                               "holder=" + (value ? *value : std::string("none"))
                                   + " token=" + std::to_string(revision));
@@ -52,7 +52,8 @@
 
 std::optional<std::uint64_t> StoreWriter::orderToken(TimePoint now) const
 {
-    return m_status.isCurrent ? m_leadership.token(now, m_announcer.renewedAt()) : std::nullopt;
+    return m_status.isCurrent ? m_leadership.fencingToken(now, m_announcer.renewedAt())
+                              : std::nullopt;
 }
 
 void StoreWriter::leave()
@@ -62,8 +63,8 @@
         return;
     }
     ++m_callCounts.leases;
-    m_store.endLease(lease, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.revokeLease(lease, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_dependencies.record("entry_not_ended", nameOf(*fault));
         }
     });
@@ -71,13 +72,13 @@
 
 void StoreWriter::publish(const CrashNote &note)
 {
-    m_publisher.add(note);
+    m_publisher.enqueue(note);
     startPublisherCall();
 }
 
 void StoreWriter::startAnnouncerCall()
 {
-    m_announcer.setWanted(m_status.leaseLifetime);
+    m_announcer.setTargetLifetime(m_status.leaseLifetime);
     const auto call = m_announcer.nextCall(steadyNow());
     if (!call) {
         return;
@@ -85,8 +86,8 @@
     if (const auto *grant = std::get_if<GrantLeaseCall>(&*call)) {
         ++m_callCounts.leases;
         m_store.grantLease(grant->lifetime, [this](const auto &result) {
-            if (const auto *fault = std::get_if<StoreFault>(&result)) {
-                m_announcer.failed(steadyNow(), *fault);
+            if (const auto *fault = std::get_if<StoreError>(&result)) {
+                m_announcer.callFailed(steadyNow(), *fault);
             } else {
                 m_announcer.leaseGranted(steadyNow(), std::get<GrantedLease>(result));
             }
@@ -113,13 +114,13 @@
     }
 }
 
-bool StoreWriter::handleAnnouncementResult(const std::variant<StoreDone, StoreFault> &result)
+bool StoreWriter::handleAnnouncementResult(const std::variant<StoreDone, StoreError> &result)
 {
-    const auto *fault = std::get_if<StoreFault>(&result);
+    const auto *fault = std::get_if<StoreError>(&result);
     if (!fault) {
         return true;
     }
-    m_announcer.failed(steadyNow(), *fault);
+    m_announcer.callFailed(steadyNow(), *fault);
     m_dependencies.record("entry_not_kept", nameOf(*fault));
     return false;
 }
@@ -134,11 +135,11 @@
     StoreCommit commit;
     commit.conditions.push_back({m_dependencies.ordersLeaderKey, 0});
     commit.writes.push_back(
-        {m_dependencies.ordersLeaderKey, m_leadership.life(), m_announcer.lease()});
+        {m_dependencies.ordersLeaderKey, m_leadership.identity(), m_announcer.lease()});
     // The result shows in the copy of the store, even if the response is lost.
     ++m_callCounts.writes;
-    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_dependencies.record("order_right_not_taken", nameOf(*fault));
         }
     });
@@ -146,16 +147,17 @@
 
 void StoreWriter::prepareOrders()
 {
-    if (!m_status.isCurrent || !m_leadership.shouldRecord(steadyNow())) {
+    if (!m_status.isCurrent || !m_leadership.shouldWriteRecord(steadyNow())) {
         return;
     }
     StoreCommit commit;
     commit.conditions.push_back({m_dependencies.ordersLeaderKey, m_leadership.revision()});
     commit.conditions.push_back({m_dependencies.ordersRecordKey, 0});
-    commit.writes.push_back({m_dependencies.ordersRecordKey, m_leadership.life(), StoreLease()});
+    commit.writes.push_back(
+        {m_dependencies.ordersRecordKey, m_leadership.identity(), StoreLease()});
     ++m_callCounts.writes;
-    m_store.commit(commit, [this](const std::variant<StoreDone, StoreFault> &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+    m_store.commit(commit, [this](const std::variant<StoreDone, StoreError> &result) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             m_dependencies.record("orders_not_prepared", nameOf(*fault));
         }
     });
@@ -173,7 +175,7 @@
     }
     ++m_callCounts.leases;
     m_store.grantLease(CrashPublisher::LeaseLifetime, [this](const auto &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             handlePublishFailure(*fault);
         } else {
             m_publisher.leaseGranted(steadyNow(), std::get<GrantedLease>(result).lease);
@@ -191,21 +193,21 @@
     }
     ++m_callCounts.writes;
     m_store.commit(commit, [this](const auto &result) {
-        if (const auto *fault = std::get_if<StoreFault>(&result)) {
+        if (const auto *fault = std::get_if<StoreError>(&result)) {
             handlePublishFailure(*fault);
         } else {
-            m_publisher.written(steadyNow());
+            m_publisher.notesWritten(steadyNow());
         }
         startPublisherCall();
     });
 }
 
-void StoreWriter::handlePublishFailure(StoreFault fault)
+void StoreWriter::handlePublishFailure(StoreError fault)
 {
-    m_publisher.failed(steadyNow(), fault);
+    m_publisher.callFailed(steadyNow(), fault);
     m_dependencies.record("crash_not_shared",
                           std::string(nameOf(fault))
-                              + " waiting=" + std::to_string(m_publisher.waiting()));
+                              + " waiting=" + std::to_string(m_publisher.queuedCount()));
 }
 
 } // namespace indigoway
--- a/src/edge/storewriter.h
+++ b/src/edge/storewriter.h
@@ -4,7 +4,7 @@
 #include "fleet/crashpublisher.h"
 #include "fleet/leadership.h"
 #include "fleet/nodeannouncer.h"
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 #include "store/keyvaluestore.h"
 
 #include <functional>
@@ -34,7 +34,7 @@
     {
         bool isCurrent = false; ///< Whether its copy of the store is up to date.
         bool isWatcher = false; ///< Whether it watches the store for its failure domain.
-        Duration leaseLifetime = NodeAnnouncer::LeastLifetime;
+        Duration leaseLifetime = NodeAnnouncer::MinLifetime;
     };
 
     /** @param incarnationId Identifies this run of the process; unique over all nodes. */
@@ -58,7 +58,7 @@
     void handleSuspension(TimePoint now) { m_leadership.handleSuspension(now); }
 
     bool isAnnounced() const { return m_announcer.isAnnounced(); }
-    bool holdsOrderRight() const { return m_leadership.isHeldByThis(); }
+    bool holdsOrderRight() const { return m_leadership.isHolder(); }
     /** Records in the store that orders are about to be given, if no node has done so before. */
     void prepareOrders();
     /** Returns the fencing token for orders to engines; nothing if this node may give none now. */
@@ -67,12 +67,12 @@
 private:
     void startAnnouncerCall();
     /** Reports a failed call to the announcer; returns whether the call succeeded. */
-    bool handleAnnouncementResult(const std::variant<StoreDone, StoreFault> &result);
+    bool handleAnnouncementResult(const std::variant<StoreDone, StoreError> &result);
     /** Asks the store for the right to give orders, if this node may and it is free. */
     void acquireOrderRight();
     void startPublisherCall();
     void writeNotes(const WriteNotesCall &call);
-    void handlePublishFailure(StoreFault fault);
+    void handlePublishFailure(StoreError fault);
 
     KeyValueStore &m_store;
     StoreCallCounts &m_callCounts;
--- a/src/quotas/quotamessages.h
+++ b/src/quotas/quotamessages.h
@@ -7,57 +7,65 @@
 #include <variant>
 #include <vector>
 
-/** @file What nodes and the keeper of the quotas tell each other, each in one datagram. */
+/** @file Messages between nodes and the quota keeper, each in one datagram. */
 namespace indigoway::quotas {
 
-/** A question of one life of a node. */
-using QuotaAskId = Number<struct QuotaAskTag>;
+/** Identifies a query within one incarnation of a node. */
+using QuotaQueryId = Number<struct QuotaQueryTag>;
 
-/** What requests at one node have used of an organisation's quota. */
-struct UsedSoFar
+/** The total usage of an organisation's quota by the requests of one node. */
+struct UsageTotal
 {
     OrganisationName organisation;
-    /** Since the node heard this keeper first; less where requests were not run after all. */
+    /**
+     * Units since the node first heard from this keeper; units of requests that did not run are
+     * deducted again.
+     */
     double units = 0;
-    bool operator==(const UsedSoFar &) const = default;
+    bool operator==(const UsageTotal &) const = default;
 };
 
-/** Sums, so that a lost datagram is made good by the next one. */
-struct UsageTold
+/** Reports totals rather than differences, so a lost datagram is made up for by the next one. */
+struct UsageReport
 {
-    Incarnation keeper;         ///< That the sums are for; none: the node has not heard it yet.
-    std::uint64_t sequence = 0; ///< Rises with each of a node's messages; datagrams may overtake.
-    bool wantsStanding = false; ///< The node wants to know that the keeper lives, and what it says.
-    std::vector<UsedSoFar> used;
-    bool operator==(const UsageTold &) const = default;
+    /**
+     * Incarnation of the keeper that the totals are for; none if the node has not heard from it
+     * yet.
+     */
+    Incarnation keeper;
+    /** Increases with each message of a node; datagrams may be reordered. */
+    std::uint64_t sequence = 0;
+    bool wantsScarcity = false; ///< True if the node requests a ScarcityReport in return.
+    std::vector<UsageTotal> used;
+    bool operator==(const UsageReport &) const = default;
 };
 
-/** May a request be served? Asked again, it is the same. */
-struct QuotaAsked
+/** Asks whether a request may be served. A repeated query gets the same answer. */
+struct QuotaQuery
 {
-    QuotaAskId ask;
+    QuotaQueryId queryId;
     OrganisationName organisation;
     double units = 0;
-    bool operator==(const QuotaAsked &) const = default;
+    bool operator==(const QuotaQuery &) const = default;
 };
 
-using ToKeeper = std::variant<UsageTold, QuotaAsked>;
+using ToKeeper = std::variant<UsageReport, QuotaQuery>;
 
-/** The organisations whose requests are to be asked for one by one; all others have plenty. */
-struct StandingTold
+/** Lists the organisations whose requests must be asked for individually. */
+struct ScarcityReport
 {
     std::vector<OrganisationName> scarce;
-    bool operator==(const StandingTold &) const = default;
+    bool operator==(const ScarcityReport &) const = default;
 };
 
-struct QuotaAnswered
+struct QuotaAnswer
 {
-    QuotaAskId ask;
+    QuotaQueryId queryId;
     bool isGranted = false;
-    Duration roomAfter {}; ///< Of one that is not granted.
-    bool operator==(const QuotaAnswered &) const = default;
+    Duration retryAfter {}; ///< Retry delay of a refused request.
+    bool operator==(const QuotaAnswer &) const = default;
 };
 
-using FromKeeper = std::variant<StandingTold, QuotaAnswered>;
+using FromKeeper = std::variant<ScarcityReport, QuotaAnswer>;
 
 } // namespace indigoway::quotas
--- a/src/scheduling/engineselector.cpp
+++ b/src/scheduling/engineselector.cpp
@@ -55,7 +55,7 @@
     , m_memory(service.engine ? static_cast<double>(service.engine->memoryTokens) : 0)
 {
     EnginesByPhase engines;
-    if (limit < servers.sizeOf(service.name)) {
+    if (limit < servers.serverCount(service.name)) {
         engines = limitedEngines(servers, service, limit);
     }
     // The full set may contain usable engines, or engines to use as a last resort.
--- a/tests/dispatch/organisationstest.cpp
+++ b/tests/dispatch/organisationstest.cpp
@@ -51,7 +51,7 @@
     {
         harness.dispatcher().setScheduler(NodeName("k"));
         harness.reduce(milliseconds,
-                       QuotaKeeperAnswered {quotas::StandingTold {std::move(scarce)},
+                       QuotaKeeperAnswered {quotas::ScarcityReport {std::move(scarce)},
                                             keeperLife().incarnation});
         harness.takeKeeperMessages();
     }
@@ -164,14 +164,14 @@
         const RequestNumber granted = harness.arriveWithKey(10, "plain", "k1", 1s);
         const RequestNumber refused = harness.arriveWithKey(10, "plain", "k1", 1s);
         CPPUNIT_ASSERT(!harness.hasCalls());
-        std::vector<quotas::QuotaAskId> asks;
+        std::vector<quotas::QuotaQueryId> asks;
         for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
-            asks.push_back(std::get<quotas::QuotaAsked>(message).ask);
+            asks.push_back(std::get<quotas::QuotaQuery>(message).queryId);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, asks.size());
         const Incarnation life = keeperLife().incarnation;
-        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[0], true, 0ms}, life});
-        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswered {asks[1], false, 2s}, life});
+        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswer {asks[0], true, 0ms}, life});
+        harness.reduce(13, QuotaKeeperAnswered {quotas::QuotaAnswer {asks[1], false, 2s}, life});
         harness.nextCall(CallKind::Plain);
         CPPUNIT_ASSERT_EQUAL(std::string("open"), harness.outcome(granted));
         CPPUNIT_ASSERT_EQUAL(429, harness.status(refused));
@@ -207,7 +207,7 @@
         CPPUNIT_ASSERT_EQUAL(503, harness.status(request)); // There is no server.
         double last = -1;
         for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
-            const auto &usage = std::get<quotas::UsageTold>(message);
+            const auto &usage = std::get<quotas::UsageReport>(message);
             last = usage.used.empty() ? last : usage.used.back().units;
         }
         CPPUNIT_ASSERT_EQUAL(0.0, last);
@@ -239,7 +239,7 @@
         CPPUNIT_ASSERT_EQUAL(503,
                              harness.status(request)); // Passed the quota, but there is no server.
         for (const quotas::ToKeeper &message : harness.takeKeeperMessages()) {
-            for (const auto &used : std::get<quotas::UsageTold>(message).used) {
+            for (const auto &used : std::get<quotas::UsageReport>(message).used) {
                 CPPUNIT_ASSERT(used.units >= 0);
             }
         }
@@ -254,10 +254,10 @@
         harness.addServer("d1", EnginePhase::Decode);
         receiveKeeperMessage(harness, 0);
         harness.arriveWithKey(10, "stream", "k1", 1s, 1000);
-        const auto stream = std::get<quotas::UsageTold>(harness.takeKeeperMessages().front());
+        const auto stream = std::get<quotas::UsageReport>(harness.takeKeeperMessages().front());
         CPPUNIT_ASSERT_EQUAL(1500.0, stream.used.front().units);
         harness.arriveWithKey(20, "plain", "k1", 1s);
-        const auto plain = std::get<quotas::UsageTold>(harness.takeKeeperMessages().front());
+        const auto plain = std::get<quotas::UsageReport>(harness.takeKeeperMessages().front());
         CPPUNIT_ASSERT_EQUAL(1700.0, plain.used.front().units);
     }
 };
--- a/tests/edge/firstcopyreplaytest.cpp
+++ b/tests/edge/firstcopyreplaytest.cpp
@@ -1,6 +1,6 @@
 #include "edge/mirrorresponder.h"
-#include "fleet/noderoster.h"
-#include "fleet/upstreamchoice.h"
+#include "fleet/nodedirectory.h"
+#include "fleet/upstreamselector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -104,7 +104,7 @@
 
     void start();
     const NodeEntry &entry() const { return m_entry; }
-    bool isKnown() const { return m_mirror.isKnown(); }
+    bool isKnown() const { return m_mirror.isLoaded(); }
     std::uint64_t asOf() const { return m_mirror.asOf(); }
     std::size_t openPolls() const { return m_openPolls; }
     void kill() { m_isAlive = false; }
@@ -125,11 +125,11 @@
     Fleet &m_fleet;
     NodeEntry m_entry;
     bool m_isSeed;
-    NodeRoster m_roster;
+    NodeDirectory m_roster;
     Mirror m_mirror;
-    CopyProof m_proof;
+    StalenessBound m_proof;
     MirrorResponder m_responder;
-    UpstreamChoice m_upstreamChoice;
+    UpstreamSelector m_upstreamChoice;
     bool m_isAlive = true;
     bool m_isCurrent = false;
     TimePoint m_linkIdleAt {};
@@ -152,14 +152,14 @@
             NodeEntry entry;
             entry.name = NodeName("n" + std::to_string(1'000 + i));
             entry.domain = DomainName(std::to_string(i % DomainCount));
-            entry.control = entry.name.text() + ":1";
-            entry.callers = entry.name.text() + ":2";
-            entry.processors = i < 2 * DomainCount ? 0.5 : 0.12;
+            entry.controlAddress = entry.name.text() + ":1";
+            entry.callerAddress = entry.name.text() + ":2";
+            entry.cpuShare = i < 2 * DomainCount ? 0.5 : 0.12;
             const bool isSeed = i < 3;
             if (isSeed) {
-                seeds.push_back(entry.control);
+                seeds.push_back(entry.controlAddress);
             }
-            m_nodes[entry.control] =
+            m_nodes[entry.controlAddress] =
                 std::make_unique<SimulatedNode>(*this, entry, random(), isSeed);
         }
         for (auto &[control, node] : m_nodes) {
@@ -245,9 +245,9 @@
         return;
     }
     const bool isLongListing =
-        !m_mirror.isKnown() && m_mirror.pagesListed() >= UpstreamChoice::MostOwnPages;
+        !m_mirror.isLoaded() && m_mirror.pagesListed() >= UpstreamSelector::MaxStorePages;
     const auto upstream = isLongListing
-        ? m_upstreamChoice.chooseForFirstCopy(now, m_roster, m_fleet.seeds, m_isSeed)
+        ? m_upstreamChoice.chooseForSnapshot(now, m_roster, m_fleet.seeds, m_isSeed)
         : m_upstreamChoice.choose(now, m_roster, m_fleet.seeds);
     if (!upstream) {
         return;
@@ -265,9 +265,9 @@
     m_fleet.simulator.schedule(
         hasUpdate ? StoreLatency : PollDuration, [this, upstream, after, since] {
             if (after) {
-                m_mirror.listed(m_fleet.store.page(*after));
+                m_mirror.applyPage(m_fleet.store.page(*after));
             } else {
-                m_mirror.watched(m_fleet.simulator.now(), m_fleet.store.changes(since));
+                m_mirror.applyWatch(m_fleet.simulator.now(), m_fleet.store.changes(since));
             }
             m_responder.addStoreUpdates(m_mirror);
             handleSuccess(upstream);
@@ -283,7 +283,7 @@
     };
     m_fleet.simulator.schedule(PeerLatency, [this, upstream, revision, exchange] {
         if (SimulatedNode *peer = m_fleet.find(*upstream.peer)) {
-            peer->receivePoll(exchange, revision, m_entry.control);
+            peer->receivePoll(exchange, revision, m_entry.controlAddress);
         }
     });
     m_fleet.simulator.schedule(FullCopyTimeout, [this, upstream, exchange] {
@@ -331,15 +331,16 @@
         return;
     }
     for (const std::string &block : response->blocks) {
-        const auto news = decodeNews(block);
+        const auto news = decodeUpdate(block);
         CPPUNIT_ASSERT(news.has_value());
-        CPPUNIT_ASSERT(m_mirror.told(*news));
-        m_responder.addPeerUpdate(
-            {news->after, news->asOf, news->isWhole, std::make_shared<const std::string>(block)});
+        CPPUNIT_ASSERT(m_mirror.applyUpdate(*news));
+        m_responder.addPeerUpdate({news->after, news->asOf, news->isSnapshot,
+                                   std::make_shared<const std::string>(block)});
     }
-    m_mirror.peerAnswered();
-    if (!m_mirror.isKnown()) {
-        m_upstreamChoice.referred(m_fleet.simulator.now(), upstream, response->alternativePeers);
+    m_mirror.completePeerCall();
+    if (!m_mirror.isLoaded()) {
+        m_upstreamChoice.handleReferral(m_fleet.simulator.now(), upstream,
+                                        response->alternativePeers);
         startNextCall();
         return;
     }
@@ -348,7 +349,7 @@
 
 void SimulatedNode::handleSuccess(const Upstream &upstream)
 {
-    m_upstreamChoice.succeeded(upstream);
+    m_upstreamChoice.reportSuccess(upstream);
     m_isCurrent = true;
     sendDueReplies();
     startNextCall();
@@ -356,8 +357,8 @@
 
 void SimulatedNode::handleFailure(const Upstream &upstream)
 {
-    m_mirror.failed(m_fleet.simulator.now(), StoreFault::Unanswered);
-    m_upstreamChoice.failed(m_fleet.simulator.now(), upstream);
+    m_mirror.callFailed(m_fleet.simulator.now(), StoreError::Unanswered);
+    m_upstreamChoice.reportFailure(m_fleet.simulator.now(), upstream);
     m_isCurrent = false;
 }
 
--- a/tests/fleet/noderostertest.cpp
+++ b/tests/fleet/nodedirectorytest.cpp
@@ -1,4 +1,4 @@
-#include "fleet/noderoster.h"
+#include "fleet/nodedirectory.h"
 
 #include "fleet/nodeannouncer.h"
 
@@ -20,17 +20,17 @@
     return {NodeName(name), DomainName("d"), name + ":1", name + ":2"};
 }
 
-GrantedLease lease(std::uint64_t number, Duration lifetime = NodeAnnouncer::LeastLifetime)
+GrantedLease lease(std::uint64_t number, Duration lifetime = NodeAnnouncer::MinLifetime)
 {
     return {StoreLease(number), lifetime};
 }
 
-/** Calls of one node in a minute, in a fleet of @p nodes that it knows from the start. */
-int callsInAMinute(std::size_t nodes)
+/** Returns the calls per minute of one node in a fleet of @p nodes. */
+int callsPerMinute(std::size_t nodes)
 {
     constexpr int Minute = 60'000;
     NodeAnnouncer announcer;
-    announcer.setWanted(NodeAnnouncer::lifetimeFor(nodes));
+    announcer.setTargetLifetime(NodeAnnouncer::lifetimeFor(nodes));
     int calls = 0;
     for (int time = 0; time < Minute; time += 50) {
         const auto call = announcer.nextCall(at(time));
@@ -56,23 +56,23 @@
 
 } // namespace
 
-class NodeRosterTest : public CppUnit::TestFixture
+class NodeDirectoryTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(NodeRosterTest);
-    CPPUNIT_TEST(entriesSurviveTheirEncoding);
-    CPPUNIT_TEST(aLeavingNodeNamesTheOthersOnly);
-    CPPUNIT_TEST(aVanishedNodeIsKeptForAMoment);
-    CPPUNIT_TEST(ranksFollowWhatIsAnnounced);
-    CPPUNIT_TEST(answersNoMoreThanAsked);
-    CPPUNIT_TEST(anEntryIsWrittenAgainWhenItIsLost);
-    CPPUNIT_TEST(asksAStoreThatIsAwayEverMoreRarely);
-    CPPUNIT_TEST(renewalsDoNotGrowWithTheFleet);
-    CPPUNIT_TEST(aLeaseIsMovedAsTheFleetGrows);
-    CPPUNIT_TEST(aNodeThatLeavesWritesNothing);
+    CPPUNIT_TEST_SUITE(NodeDirectoryTest);
+    CPPUNIT_TEST(entryRoundTrip);
+    CPPUNIT_TEST(leavingNodeListsOnlyOthers);
+    CPPUNIT_TEST(withdrawnNodeIsRetained);
+    CPPUNIT_TEST(ranksFollowAnnouncements);
+    CPPUNIT_TEST(boundsCallerAddresses);
+    CPPUNIT_TEST(rewritesLostEntry);
+    CPPUNIT_TEST(backsOffWhileStoreIsUnreachable);
+    CPPUNIT_TEST(renewalRateIsIndependentOfFleetSize);
+    CPPUNIT_TEST(replacesLeaseAsFleetGrows);
+    CPPUNIT_TEST(leavingNodeWritesNothing);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void entriesSurviveTheirEncoding()
+    void entryRoundTrip()
     {
         const auto decoded = decodeNodeEntry(encodeNodeEntry(node("n1")));
         CPPUNIT_ASSERT(decoded.has_value());
@@ -81,67 +81,67 @@
         CPPUNIT_ASSERT(!decodeNodeEntry("no json").has_value());
     }
 
-    void aLeavingNodeNamesTheOthersOnly()
+    void leavingNodeListsOnlyOthers()
     {
-        NodeRoster roster(node("self"));
-        roster.announce("k/self", node("self"));
-        CPPUNIT_ASSERT(contains(roster.callerAddresses(at(0), 64, 1), "self:1"));
-        roster.announce("k/b", node("b"));
-        roster.setLeaving();
-        const auto addresses = roster.callerAddresses(at(0), 64, 1);
+        NodeDirectory directory(node("self"));
+        directory.announce("k/self", node("self"));
+        CPPUNIT_ASSERT(contains(directory.callerAddresses(at(0), 64, 1), "self:1"));
+        directory.announce("k/b", node("b"));
+        directory.setLeaving();
+        const auto addresses = directory.callerAddresses(at(0), 64, 1);
         CPPUNIT_ASSERT(!contains(addresses, "self:1"));
         CPPUNIT_ASSERT(contains(addresses, "b:1"));
     }
 
-    // The store was away, its leases ran out, and all nodes' entries vanish at its return. An
-    // answer without them would send every caller to the one node that answers.
-    void aVanishedNodeIsKeptForAMoment()
+    // Guards against an answer without the other nodes when all leases have expired in a store
+    // outage.
+    void withdrawnNodeIsRetained()
     {
-        NodeRoster roster(node("self"));
-        roster.announce("k/b", node("b"));
-        roster.withdraw("k/b", at(0));
-        CPPUNIT_ASSERT(contains(roster.callerAddresses(at(500), 64, 1), "b:1"));
-        CPPUNIT_ASSERT(!contains(roster.callerAddresses(at(3'000), 64, 1), "b:1"));
-        CPPUNIT_ASSERT_EQUAL(1U, roster.count(at(3'000)));
+        NodeDirectory directory(node("self"));
+        directory.announce("k/b", node("b"));
+        directory.withdraw("k/b", at(0));
+        CPPUNIT_ASSERT(contains(directory.callerAddresses(at(500), 64, 1), "b:1"));
+        CPPUNIT_ASSERT(!contains(directory.callerAddresses(at(3'000), 64, 1), "b:1"));
+        CPPUNIT_ASSERT_EQUAL(1U, directory.count(at(3'000)));
     }
 
     /** Guards against a node that is kept in its domain after it has gone or has changed. */
-    void ranksFollowWhatIsAnnounced()
+    void ranksFollowAnnouncements()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory directory(node("self"));
         NodeEntry large = node("z");
-        large.processors = 0.5;
-        roster.announce("k/z", large);
-        roster.announce("k/b", node("b"));
-        const RankedNodes &ranked = roster.inDomain(DomainName("d"));
+        large.cpuShare = 0.5;
+        directory.announce("k/z", large);
+        directory.announce("k/b", node("b"));
+        const RankedNodes &ranked = directory.nodesInDomain(DomainName("d"));
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("z"));
-        large.processors = 0;
-        roster.announce("k/z", large);
+        large.cpuShare = 0;
+        directory.announce("k/z", large);
         CPPUNIT_ASSERT(ranked.begin()->second->name == NodeName("b"));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
-        roster.withdraw("k/b", at(0));
-        roster.forgetVanished(at(500));
+        directory.withdraw("k/b", at(0));
+        directory.purgeWithdrawn(at(500));
         CPPUNIT_ASSERT_EQUAL(std::size_t {2}, ranked.size());
-        roster.withdraw("k/z", at(600));
-        roster.announce("k/z", large);
-        roster.forgetVanished(at(3'000));
+        directory.withdraw("k/z", at(600));
+        directory.announce("k/z", large);
+        directory.purgeWithdrawn(at(3'000));
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, ranked.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, roster.members().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.members().size());
     }
 
-    void answersNoMoreThanAsked()
+    void boundsCallerAddresses()
     {
-        NodeRoster roster(node("self"));
+        NodeDirectory directory(node("self"));
         for (int i = 0; i < 100; ++i) {
             const std::string name = "n" + std::to_string(i);
-            roster.announce(name, node(name));
+            directory.announce(name, node(name));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t {64}, roster.callerAddresses(at(0), 64, 9).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {64}, directory.callerAddresses(at(0), 64, 9).size());
     }
 
-    // The lease of a healthy node ends while the store is away, or someone removes its entry.
-    // Callers are not sent to it any more, and it would idle for good.
-    void anEntryIsWrittenAgainWhenItIsLost()
+    // Guards against a healthy node that stays without an entry after its lease expired or its
+    // entry was removed.
+    void rewritesLostEntry()
     {
         NodeAnnouncer announcer;
         CPPUNIT_ASSERT(std::holds_alternative<GrantLeaseCall>(*announcer.nextCall(at(0))));
@@ -151,19 +151,18 @@
         announcer.entryWritten(at(2));
         CPPUNIT_ASSERT(!announcer.nextCall(at(3)).has_value());
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(1'000))));
-        announcer.failed(at(1'001), StoreFault::NoLease);
+        announcer.callFailed(at(1'001), StoreError::NoLease);
         CPPUNIT_ASSERT(std::holds_alternative<GrantLeaseCall>(*announcer.nextCall(at(1'001))));
         announcer.leaseGranted(at(1'002), lease(6));
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'002))));
         announcer.entryWritten(at(1'003));
-        announcer.entryVanished();
+        announcer.entryRemoved();
         CPPUNIT_ASSERT(std::holds_alternative<PutEntryCall>(*announcer.nextCall(at(1'004))));
     }
 
-    // The store is busy for eight seconds and refuses every call; each is paid for all the same.
-    // Two hundred nodes that ask four times a second make six thousand calls for nothing. Once
-    // another node has heard that the store is back, this one asks at once.
-    void asksAStoreThatIsAwayEverMoreRarely()
+    // Guards against a high rate of billed calls to a store that refuses them, and against a delay
+    // after it has recovered.
+    void backsOffWhileStoreIsUnreachable()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
@@ -175,7 +174,7 @@
         for (; time < 9'000; time += 10) {
             if (announcer.nextCall(at(time))) {
                 ++calls;
-                announcer.failed(at(time), StoreFault::Refused);
+                announcer.callFailed(at(time), StoreError::Refused);
             }
         }
         CPPUNIT_ASSERT(calls >= 4);
@@ -184,43 +183,42 @@
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(time))));
     }
 
-    /** Guards against a store whose calls are mostly renewals of leases of a large fleet. */
-    void renewalsDoNotGrowWithTheFleet()
+    /** Guards against a renewal rate that grows with the fleet. */
+    void renewalRateIsIndependentOfFleetSize()
     {
-        const std::size_t ofThousand = std::size_t {1'000} * callsInAMinute(1'000);
-        const std::size_t ofTwoThousand = std::size_t {2'000} * callsInAMinute(2'000);
-        CPPUNIT_ASSERT(ofTwoThousand < ofThousand * 5 / 4);
-        CPPUNIT_ASSERT_EQUAL(callsInAMinute(7), callsInAMinute(200));
+        const std::size_t callsOfThousand = std::size_t {1'000} * callsPerMinute(1'000);
+        const std::size_t callsOfTwoThousand = std::size_t {2'000} * callsPerMinute(2'000);
+        CPPUNIT_ASSERT(callsOfTwoThousand < callsOfThousand * 5 / 4);
+        CPPUNIT_ASSERT_EQUAL(callsPerMinute(7), callsPerMinute(200));
     }
 
-    /** Guards against an entry that vanishes while its node moves to another lease. */
-    void aLeaseIsMovedAsTheFleetGrows()
+    /** Guards against an entry that expires while its node replaces the lease. */
+    void replacesLeaseAsFleetGrows()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
         announcer.leaseGranted(at(1), lease(5));
         announcer.nextCall(at(1));
         announcer.entryWritten(at(2));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 3 / 2);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 3 / 2);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(900))));
         announcer.leaseRenewed(at(901));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 4);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 4);
         const auto grant = announcer.nextCall(at(1'800));
-        CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime
-                       == NodeAnnouncer::LeastLifetime * 4);
-        // The grant fails: the lease that there is must be renewed in time.
-        announcer.failed(at(1'801), StoreFault::Refused);
-        announcer.setWanted(NodeAnnouncer::LeastLifetime);
+        CPPUNIT_ASSERT(std::get<GrantLeaseCall>(*grant).lifetime == NodeAnnouncer::MinLifetime * 4);
+        // After a failed grant the existing lease must still be renewed in time.
+        announcer.callFailed(at(1'801), StoreError::Refused);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime);
         CPPUNIT_ASSERT(std::holds_alternative<RenewLeaseCall>(*announcer.nextCall(at(2'100))));
         announcer.leaseRenewed(at(2'101));
-        announcer.setWanted(NodeAnnouncer::LeastLifetime * 4);
+        announcer.setTargetLifetime(NodeAnnouncer::MinLifetime * 4);
         announcer.nextCall(at(3'000));
-        announcer.leaseGranted(at(3'001), lease(6, NodeAnnouncer::LeastLifetime * 4));
+        announcer.leaseGranted(at(3'001), lease(6, NodeAnnouncer::MinLifetime * 4));
         const auto put = announcer.nextCall(at(3'001));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {6}, std::get<PutEntryCall>(*put).lease.value());
     }
 
-    void aNodeThatLeavesWritesNothing()
+    void leavingNodeWritesNothing()
     {
         NodeAnnouncer announcer;
         announcer.nextCall(at(0));
@@ -230,4 +228,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NodeRosterTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NodeDirectoryTest);
--- a/tests/fleet/serverdirectorytest.cpp
+++ b/tests/fleet/serverdirectorytest.cpp
@@ -35,16 +35,16 @@
 class ServerDirectoryTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerDirectoryTest);
-    CPPUNIT_TEST(aDrainingServerGetsNoNewWork);
-    CPPUNIT_TEST(aVanishedServerIsALastResort);
-    CPPUNIT_TEST(lapsedEntriesComeBack);
-    CPPUNIT_TEST(aServerMayChangeItsService);
-    CPPUNIT_TEST(aNewLifeEndsTheEarlierOne);
-    CPPUNIT_TEST(aServerThatIsRemovedIsNoLastResort);
+    CPPUNIT_TEST(drainingServerIsNoCandidate);
+    CPPUNIT_TEST(withdrawnServerIsLastResort);
+    CPPUNIT_TEST(expiredEntriesReturn);
+    CPPUNIT_TEST(serverChangesService);
+    CPPUNIT_TEST(newIncarnationReplacesEarlierOne);
+    CPPUNIT_TEST(removedServerIsNoLastResort);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aDrainingServerGetsNoNewWork()
+    void drainingServerIsNoCandidate()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -52,12 +52,13 @@
         leaving.isDraining = true;
         directory.announce(leaving);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(0)));
-        CPPUNIT_ASSERT(directory.standing(ServerName("b"), at(0)) == Standing::Leaving);
+        CPPUNIT_ASSERT(directory.availability(ServerName("b"), at(0))
+                       == ServerAvailability::Leaving);
     }
 
-    // A server starts again under its id while its old entry has just lapsed. A request that found
-    // the earlier life as a last resort would be sent with what the new one does not hold.
-    void aNewLifeEndsTheEarlierOne()
+    // Guards against requests to the earlier incarnation of a server, kept as a last resort, after
+    // the server has restarted.
+    void newIncarnationReplacesEarlierOne()
     {
         ServerDirectory directory;
         AnnouncedServer first = server("a@1");
@@ -69,11 +70,12 @@
         second.instance = "a";
         CPPUNIT_ASSERT(directory.announce(second) == ServerName("a@1"));
         CPPUNIT_ASSERT_EQUAL(std::string("a@2"), candidates(directory, at(10)));
-        CPPUNIT_ASSERT(directory.standing(ServerName("a@1"), at(10)) == Standing::Leaving);
+        CPPUNIT_ASSERT(directory.availability(ServerName("a@1"), at(10))
+                       == ServerAvailability::Leaving);
         CPPUNIT_ASSERT(directory.nameOf("a") == ServerName("a@2"));
     }
 
-    void aServerThatIsRemovedIsNoLastResort()
+    void removedServerIsNoLastResort()
     {
         ServerDirectory directory;
         AnnouncedServer one = server("a");
@@ -87,7 +89,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(0)));
     }
 
-    void aVanishedServerIsALastResort()
+    void withdrawnServerIsLastResort()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -96,10 +98,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(10)));
     }
 
-    // The store was away and its leases ran out: on its return all servers' entries vanish in one
-    // moment and are back within two seconds. Callers of that moment would all be refused, though
-    // every server is well.
-    void lapsedEntriesComeBack()
+    // Guards against refused requests when the entries of all healthy servers expire in a store
+    // outage.
+    void expiredEntriesReturn()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
@@ -110,11 +111,11 @@
         directory.announce(server("a"));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(200)));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), candidates(directory, at(5'000)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.forgetVanished(at(5'000)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.purgeWithdrawn(at(5'000)).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, directory.size());
     }
 
-    void aServerMayChangeItsService()
+    void serverChangesService()
     {
         ServerDirectory directory;
         directory.announce(server("a"));
