--- a/src/relay/callerlistener.cpp
+++ b/src/relay/callerlistener.cpp
@@ -22,14 +22,14 @@
 constexpr int PayloadTooLarge = 413;
 constexpr int ExpectationFailed = 417;
 constexpr int HeadersTooLarge = 431;
-/** A caller who takes no byte of an answer for so long is gone. */
-constexpr auto LongestUnacknowledged = std::chrono::milliseconds(5000);
-/** After a refusal the rest of the request is read for a moment, so that no reset overtakes it. */
+/** Time without acknowledgement after which a caller's connection is closed. */
+constexpr auto TcpUserTimeout = std::chrono::milliseconds(5000);
+/** Time to discard input before a close, so that no reset destroys the answer in transit. */
 constexpr Duration LingerTime = std::chrono::seconds(1);
-/** Callers may use a connection up to the idle limit; the close comes surely later. */
-constexpr Duration IdleSlack = std::chrono::seconds(1);
-/** Unsent bytes of a stream whose caller does not read; no answer is larger. */
-constexpr std::size_t MostUnsent = std::size_t {4} * 1024 * 1024;
+/** Added to the idle timeout, so that connections aren't closed before callers expect it. */
+constexpr Duration IdleTimeoutMargin = std::chrono::seconds(1);
+/** Limit of buffered stream data for a slow caller; its connection is closed beyond that. */
+constexpr std::size_t MaxUnsentBytes = std::size_t {4} * 1024 * 1024;
 constexpr int ListenBacklog = 512;
 
 timeval timevalOf(Duration duration)
@@ -38,7 +38,7 @@
     return {seconds.count(), (duration - seconds).count()};
 }
 
-const char *reasonOf(int status)
+const char *reasonPhrase(int status)
 {
     switch (status) {
     case 200:
@@ -73,10 +73,10 @@
 struct CallerListener::Connection
 {
     enum class State {
-        Reading,   ///< Between requests, or in the middle of one.
-        Answering, ///< A request is open; what arrives meanwhile waits.
-        Closing,   ///< Closed when all is written.
-        Lingering,
+        Reading,   ///< Waits for a request or receives one.
+        Answering, ///< Processes a request; further input stays in the buffer.
+        Closing,   ///< Waits until the answer is written.
+        Lingering, ///< Discards input until the timer closes the connection.
     };
 
     CallerListener *listener = nullptr;
@@ -86,13 +86,14 @@
     MessageParser parser;
     State state = State::Reading;
     RequestNumber request;
-    CallerRequest incoming;
+    CallerRequest incomingRequest;
     CallerLimits limits;
-    bool isChunking = false;
-    bool keeps = true; ///< The caller's request allows another one after it.
+    bool isChunked = false;
+    bool isKeepAlive = true; ///< The connection accepts further requests.
     bool isHeadRequest = false;
-    bool isRefused = false; ///< The parser's callback found it; answered after the parser.
-    int refusal = 0;
+    /** Set in a parser callback; the answer is sent after the parser returns. */
+    bool isRejected = false;
+    int rejectionStatus = 0;
 
     explicit Connection(MessageParser::Handler handler)
         : parser(MessageParser::Kind::Request, std::move(handler))
@@ -146,7 +147,7 @@
 void CallerListener::respond(RequestNumber request, int status, const HttpHeaders &headers,
                              std::string_view body)
 {
-    Connection *connection = connectionOf(request);
+    Connection *connection = findConnection(request);
     if (!connection) {
         return;
     }
@@ -154,20 +155,20 @@
     if (!connection->isHeadRequest) {
         bufferevent_write(connection->bev, body.data(), body.size());
     }
-    answerFinished(*connection);
+    finishAnswer(*connection);
 }
 
-void CallerListener::beginStream(RequestNumber request, int status, const HttpHeaders &headers)
+void CallerListener::startStream(RequestNumber request, int status, const HttpHeaders &headers)
 {
-    if (Connection *connection = connectionOf(request)) {
-        connection->isChunking = true;
+    if (Connection *connection = findConnection(request)) {
+        connection->isChunked = true;
         writeHead(*connection, status, headers, std::nullopt);
     }
 }
 
-void CallerListener::sendPiece(RequestNumber request, std::string_view data)
+void CallerListener::sendChunk(RequestNumber request, std::string_view data)
 {
-    Connection *connection = connectionOf(request);
+    Connection *connection = findConnection(request);
     if (!connection || data.empty() || connection->isHeadRequest) {
         return;
     }
@@ -175,7 +176,7 @@
     evbuffer_add_printf(output, "%zx\r\n", data.size());
     evbuffer_add(output, data.data(), data.size());
     evbuffer_add(output, "\r\n", 2);
-    if (evbuffer_get_length(output) > MostUnsent) {
+    if (evbuffer_get_length(output) > MaxUnsentBytes) {
         const ConnectionNumber number = connection->number;
         close(number);
         m_goneHandler(request);
@@ -184,25 +185,25 @@
 
 void CallerListener::endStream(RequestNumber request)
 {
-    Connection *connection = connectionOf(request);
+    Connection *connection = findConnection(request);
     if (!connection) {
         return;
     }
     if (!connection->isHeadRequest) {
         bufferevent_write(connection->bev, "0\r\n\r\n", 5);
     }
-    answerFinished(*connection);
+    finishAnswer(*connection);
 }
 
-void CallerListener::breakAnswer(RequestNumber request)
+void CallerListener::abortAnswer(RequestNumber request)
 {
-    Connection *connection = connectionOf(request);
+    Connection *connection = findConnection(request);
     if (!connection) {
         return;
     }
     m_requests.erase(request);
     connection->request = {};
-    // What was written so far still goes out; the missing last chunk shows that it is not whole.
+    // Buffered data is still sent; the missing last chunk marks the answer as incomplete.
     closeWhenWritten(*connection);
 }
 
@@ -215,19 +216,19 @@
 void CallerListener::accept(int socket)
 {
     setNoDelay(socket);
-    setUserTimeout(socket, LongestUnacknowledged);
+    setUserTimeout(socket, TcpUserTimeout);
     const ConnectionNumber number(++m_lastConnection);
     MessageParser::Handler handler;
     handler.head = [this, number](const MessageHead &head) {
-        takeHead(*m_connections.at(number), head);
+        handleHead(*m_connections.at(number), head);
     };
     handler.body = [this, number](std::string_view data) {
         Connection &connection = *m_connections.at(number);
-        if (connection.incoming.body.size() + data.size() <= connection.limits.bodyBytes) {
-            connection.incoming.body.append(data);
+        if (connection.incomingRequest.body.size() + data.size() <= connection.limits.bodyBytes) {
+            connection.incomingRequest.body.append(data);
         } else {
-            connection.isRefused = true;
-            connection.refusal = PayloadTooLarge;
+            connection.isRejected = true;
+            connection.rejectionStatus = PayloadTooLarge;
         }
     };
     auto connection = std::make_unique<Connection>(std::move(handler));
@@ -243,13 +244,13 @@
     m_connections.emplace(number, std::move(connection));
 }
 
-void CallerListener::handleRead(bufferevent * /*bev*/, void *connection)
+void CallerListener::handleRead(bufferevent * /*bev*/, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    one.listener->readMore(one);
+    auto &connection = *static_cast<Connection *>(context);
+    connection.listener->readInput(connection);
 }
 
-void CallerListener::readMore(Connection &connection)
+void CallerListener::readInput(Connection &connection)
 {
     evbuffer *input = bufferevent_get_input(connection.bev);
     if (connection.state == Connection::State::Lingering
@@ -260,20 +261,20 @@
     while (connection.state == Connection::State::Reading && evbuffer_get_length(input) > 0) {
         if (!connection.parser.hasStarted()) {
             connection.limits = m_limits;
-            connection.incoming = {};
+            connection.incomingRequest = {};
             const timeval limit = timevalOf(connection.limits.headerTimeout);
             event_add(connection.timer, &limit);
         }
         const std::size_t size = evbuffer_get_length(input);
         const auto *bytes =
             reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-        const std::size_t used = connection.parser.feed({bytes, size});
-        evbuffer_drain(input, used);
+        const std::size_t consumed = connection.parser.feed({bytes, size});
+        evbuffer_drain(input, consumed);
         if (!isWithinLimits(connection)) {
             return;
         }
         if (connection.parser.isComplete()) {
-            requestComplete(connection);
+            handleCompleteRequest(connection);
             return;
         }
     }
@@ -283,92 +284,92 @@
 {
     const MessageParser &parser = connection.parser;
     if (parser.headBytes() > connection.limits.headerBytes && !parser.isHeadComplete()) {
-        refuse(connection, HeadersTooLarge, "headers too large");
+        reject(connection, HeadersTooLarge, "headers too large");
         return false;
     }
     if (parser.hasFailed()) {
-        refuse(connection, BadRequest, "not a proper request");
+        reject(connection, BadRequest, "not a proper request");
         return false;
     }
-    if (connection.isRefused) {
-        refuse(connection, connection.refusal, "not acceptable");
+    if (connection.isRejected) {
+        reject(connection, connection.rejectionStatus, "not acceptable");
         return false;
     }
     return true;
 }
 
-void CallerListener::takeHead(Connection &connection, const MessageHead &head)
+void CallerListener::handleHead(Connection &connection, const MessageHead &head)
 {
-    connection.incoming.head = head;
-    connection.keeps = head.keepsConnection;
+    connection.incomingRequest.head = head;
+    connection.isKeepAlive = head.isKeepAlive;
     connection.isHeadRequest = head.method == "HEAD";
     std::size_t bytes = 0;
     for (const auto &[name, value] : head.headers) {
         bytes += name.size() + value.size() + 4;
     }
     if (bytes + head.target.size() > connection.limits.headerBytes) {
-        connection.isRefused = true;
-        connection.refusal = HeadersTooLarge;
+        connection.isRejected = true;
+        connection.rejectionStatus = HeadersTooLarge;
         return;
     }
     if (head.method == "CONNECT") {
-        connection.isRefused = true;
-        connection.refusal = BadRequest;
+        connection.isRejected = true;
+        connection.rejectionStatus = BadRequest;
         return;
     }
     const std::string_view length = head.header("Content-Length");
     if (!length.empty()
         && std::strtoull(std::string(length).c_str(), nullptr, 10) > connection.limits.bodyBytes) {
-        connection.isRefused = true;
-        connection.refusal = PayloadTooLarge;
+        connection.isRejected = true;
+        connection.rejectionStatus = PayloadTooLarge;
         return;
     }
     if (head.hasHeader("Expect")) {
         if (!sameHeaderName(head.header("Expect"), "100-continue")) {
-            connection.isRefused = true;
-            connection.refusal = ExpectationFailed;
+            connection.isRejected = true;
+            connection.rejectionStatus = ExpectationFailed;
             return;
         }
         constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
         bufferevent_write(connection.bev, Continue.data(), Continue.size());
     }
-    // The body may take as long as an idle connection; slow heads are what exhausts servers.
+    // The idle timeout also limits the time for the body.
     const timeval limit = timevalOf(connection.limits.idleTimeout);
     event_add(connection.timer, &limit);
 }
 
-void CallerListener::requestComplete(Connection &connection)
+void CallerListener::handleCompleteRequest(Connection &connection)
 {
     event_del(connection.timer);
     connection.state = Connection::State::Answering;
-    connection.isChunking = false;
+    connection.isChunked = false;
     connection.request = RequestNumber(++m_lastRequest);
     m_requests.emplace(connection.request, connection.number);
-    m_requestHandler(connection.request, std::move(connection.incoming));
+    m_requestHandler(connection.request, std::move(connection.incomingRequest));
 }
 
-void CallerListener::refuse(Connection &connection, int status, const char *why)
+void CallerListener::reject(Connection &connection, int status, const char *reason)
 {
-    connection.keeps = false;
+    connection.isKeepAlive = false;
     connection.isHeadRequest = false;
-    const std::string body = std::string("{\"error\":\"") + why + "\"}";
+    const std::string body = std::string("{\"error\":\"") + reason + "\"}";
     writeHead(connection, status, {{"Content-Type", "application/json"}}, body.size());
     bufferevent_write(connection.bev, body.data(), body.size());
     startLingering(connection);
 }
 
-void CallerListener::answerFinished(Connection &connection)
+void CallerListener::finishAnswer(Connection &connection)
 {
     m_requests.erase(connection.request);
     connection.request = {};
-    if (!connection.keeps || m_isLeaving) {
+    if (!connection.isKeepAlive || m_isLeaving) {
         closeWhenWritten(connection);
         return;
     }
     connection.state = Connection::State::Reading;
     connection.parser.reset();
     armIdleTimer(connection);
-    // A next request may be here already; it is read from the loop, not from inside its caller.
+    // A pipelined request is read from the event loop to avoid recursion.
     if (evbuffer_get_length(bufferevent_get_input(connection.bev)) > 0) {
         bufferevent_trigger(connection.bev, EV_READ, BEV_TRIG_DEFER_CALLBACKS);
     }
@@ -394,41 +395,42 @@
 
 void CallerListener::armIdleTimer(Connection &connection)
 {
-    const timeval limit = timevalOf(m_limits.idleTimeout + IdleSlack);
+    const timeval limit = timevalOf(m_limits.idleTimeout + IdleTimeoutMargin);
     event_add(connection.timer, &limit);
 }
 
-void CallerListener::handleWritten(bufferevent * /*bev*/, void *connection)
+void CallerListener::handleWritten(bufferevent * /*bev*/, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    if (one.state == Connection::State::Closing || one.state == Connection::State::Lingering) {
-        one.listener->startLingering(one);
+    auto &connection = *static_cast<Connection *>(context);
+    if (connection.state == Connection::State::Closing
+        || connection.state == Connection::State::Lingering) {
+        connection.listener->startLingering(connection);
     }
 }
 
-void CallerListener::handleEvent(bufferevent * /*bev*/, short what, void *connection)
+void CallerListener::handleEvent(bufferevent * /*bev*/, short events, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) {
+    auto &connection = *static_cast<Connection *>(context);
+    if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) {
         return;
     }
-    CallerListener &listener = *one.listener;
-    const RequestNumber request = one.request;
-    listener.close(one.number);
+    CallerListener &listener = *connection.listener;
+    const RequestNumber request = connection.request;
+    listener.close(connection.number);
     if (!request.isNone()) {
         listener.m_goneHandler(request);
     }
 }
 
-void CallerListener::handleTimer(int /*socket*/, short /*what*/, void *connection)
+void CallerListener::handleTimer(int /*socket*/, short /*events*/, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    CallerListener &listener = *one.listener;
-    if (one.state == Connection::State::Reading && one.parser.hasStarted()) {
-        listener.refuse(one, RequestTimeout, "request took too long to arrive");
+    auto &connection = *static_cast<Connection *>(context);
+    CallerListener &listener = *connection.listener;
+    if (connection.state == Connection::State::Reading && connection.parser.hasStarted()) {
+        listener.reject(connection, RequestTimeout, "request took too long to arrive");
         return;
     }
-    listener.close(one.number);
+    listener.close(connection.number);
 }
 
 void CallerListener::close(ConnectionNumber number)
@@ -441,7 +443,7 @@
     m_connections.erase(it);
 }
 
-CallerListener::Connection *CallerListener::connectionOf(RequestNumber request)
+CallerListener::Connection *CallerListener::findConnection(RequestNumber request)
 {
     const auto it = m_requests.find(request);
     return it == m_requests.end() ? nullptr : m_connections.at(it->second).get();
@@ -450,15 +452,15 @@
 void CallerListener::writeHead(Connection &connection, int status, const HttpHeaders &headers,
                                std::optional<std::size_t> length)
 {
-    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
+    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonPhrase(status) + "\r\n";
     for (const auto &[name, value] : headers) {
         text.append(name).append(": ").append(value).append("\r\n");
     }
     text += length ? "Content-Length: " + std::to_string(*length) + "\r\n"
                    : std::string("Transfer-Encoding: chunked\r\n");
-    if (!connection.keeps || m_isLeaving) {
+    if (!connection.isKeepAlive || m_isLeaving) {
         text += "Connection: close\r\n";
-        connection.keeps = false;
+        connection.isKeepAlive = false;
     }
     text += "\r\n";
     bufferevent_write(connection.bev, text.data(), text.size());
--- a/src/relay/callerlistener.h
+++ b/src/relay/callerlistener.h
@@ -19,7 +19,7 @@
 
 namespace indigoway {
 
-/** A caller's request, whole. */
+/** A caller's complete request. */
 struct CallerRequest
 {
     MessageHead head;
@@ -27,12 +27,12 @@
 };
 
 /**
- * The callers' side: HTTP/1.1 true to the byte, one request at a time on a connection. evhttp's
- * server rewrites what passes through it and does not tell a caller's leaving before an answer
- * has begun; here bufferevents and a parser library take its place.
+ * HTTP/1.1 server for callers. Requests on a connection are handled one at a time, and pipelined
+ * ones wait. It uses bufferevents and http_parser instead of evhttp, which modifies messages and
+ * doesn't report that a caller disconnects before the answer starts.
  *
- * Every request that was handed on ends by one of respond(), endStream(), breakAnswer(), or the
- * gone handler.
+ * Every request passed to the request handler ends with one of respond(), endStream(),
+ * abortAnswer(), or a call of the gone handler.
  */
 class CallerListener
 {
@@ -45,20 +45,23 @@
     CallerListener(const CallerListener &) = delete;
     CallerListener &operator=(const CallerListener &) = delete;
 
-    /** Listens on "IP:port"; port 0 takes a free one. The address, or nothing on failure. */
+    /**
+     * Listens on @p address, "IP:port"; port 0 selects a free port.
+     * @return the bound address, or nothing on failure
+     */
     std::optional<std::string> listenOn(const std::string &address);
-    /** Holds for messages that begin later. */
+    /** Sets the limits for requests that start later. */
     void setLimits(const CallerLimits &limits) { m_limits = limits; }
-    /** From now on every answer asks its caller to close the connection. */
+    /** Closes each connection after its next answer, which has "Connection: close". */
     void beginLeaving() { m_isLeaving = true; }
 
     void respond(RequestNumber request, int status, const HttpHeaders &headers,
                  std::string_view body);
-    void beginStream(RequestNumber request, int status, const HttpHeaders &headers);
-    void sendPiece(RequestNumber request, std::string_view data);
+    void startStream(RequestNumber request, int status, const HttpHeaders &headers);
+    void sendChunk(RequestNumber request, std::string_view data);
     void endStream(RequestNumber request);
-    /** Closes the connection at once: an answer under way is visibly not whole. */
-    void breakAnswer(RequestNumber request);
+    /** Closes the connection without the last chunk, which marks the answer as incomplete. */
+    void abortAnswer(RequestNumber request);
     std::size_t connections() const { return m_connections.size(); }
     std::size_t openRequests() const { return m_requests.size(); }
 
@@ -68,23 +71,23 @@
 
     static void handleAccept(evconnlistener *listener, int socket, sockaddr *from, int length,
                              void *self);
-    static void handleRead(bufferevent *bev, void *connection);
-    static void handleWritten(bufferevent *bev, void *connection);
-    static void handleEvent(bufferevent *bev, short what, void *connection);
-    static void handleTimer(int socket, short what, void *connection);
+    static void handleRead(bufferevent *bev, void *context);
+    static void handleWritten(bufferevent *bev, void *context);
+    static void handleEvent(bufferevent *bev, short events, void *context);
+    static void handleTimer(int socket, short events, void *context);
     void accept(int socket);
-    void readMore(Connection &connection);
+    void readInput(Connection &connection);
     bool isWithinLimits(Connection &connection);
-    void takeHead(Connection &connection, const MessageHead &head);
-    void requestComplete(Connection &connection);
-    /** Answers what cannot be read on, and closes the connection. */
-    void refuse(Connection &connection, int status, const char *why);
-    void answerFinished(Connection &connection);
+    void handleHead(Connection &connection, const MessageHead &head);
+    void handleCompleteRequest(Connection &connection);
+    /** Sends an error answer and closes the connection. */
+    void reject(Connection &connection, int status, const char *reason);
+    void finishAnswer(Connection &connection);
     void closeWhenWritten(Connection &connection);
     void startLingering(Connection &connection);
     void armIdleTimer(Connection &connection);
     void close(ConnectionNumber number);
-    Connection *connectionOf(RequestNumber request);
+    Connection *findConnection(RequestNumber request);
     void writeHead(Connection &connection, int status, const HttpHeaders &headers,
                    std::optional<std::size_t> length);
 
--- a/src/relay/contentid.cpp
+++ b/src/relay/contentid.cpp
@@ -8,15 +8,15 @@
 
 namespace indigoway {
 
-ContentId contentOf(const CallerRequest &request)
+ContentId contentIdOf(const CallerRequest &request)
 {
-    // 128 bits keep accidents out. A caller who wants another one's content to be taken for its own
-    // would have to know that one's bytes, and could as well send them.
+    // A 128-bit non-cryptographic hash is sufficient: accidental collisions are negligible, and a
+    // caller that knows the content of another caller's request can also send it unchanged.
     const std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> state(XXH3_createState(),
                                                                          &XXH3_freeState);
     XXH3_128bits_reset(state.get());
     const auto add = [&](std::string_view part) {
-        const std::uint64_t size = part.size(); // Else "ab" + "c" would be the same as "a" + "bc".
+        const std::uint64_t size = part.size(); // Distinguishes "ab" + "c" from "a" + "bc".
         XXH3_128bits_update(state.get(), &size, sizeof size);
         XXH3_128bits_update(state.get(), part.data(), part.size());
     };
--- a/src/relay/contentid.h
+++ b/src/relay/contentid.h
@@ -7,9 +7,9 @@
 namespace indigoway {
 
 /**
- * What @p request asks for: method, host, target, body, and the caller's credentials if it bears
- * any. Two attempts at the same thing have the same; their own ids and time limits do not count.
+ * Returns a hash of the method, host, target, body and Authorization header of @p request. Retries
+ * of a request have the same hash, as request ids and deadlines are not included.
  */
-ContentId contentOf(const CallerRequest &request);
+ContentId contentIdOf(const CallerRequest &request);
 
 } // namespace indigoway
--- a/src/relay/dialect.cpp
+++ b/src/relay/dialect.cpp
@@ -27,27 +27,27 @@
 
 HttpHeaders endToEndHeaders(const MessageHead &head)
 {
-    std::vector<std::string> named;
+    std::vector<std::string> connectionOptions;
     for (const auto &[name, value] : head.headers) {
         if (!sameHeaderName(name, "Connection")) {
             continue;
         }
         for (const absl::string_view part : absl::StrSplit(value, ',', absl::SkipWhitespace())) {
-            named.emplace_back(absl::StripAsciiWhitespace(part));
+            connectionOptions.emplace_back(absl::StripAsciiWhitespace(part));
         }
     }
-    HttpHeaders kept;
+    HttpHeaders endToEnd;
     for (const auto &[name, value] : head.headers) {
-        const auto isThis = [&name = name](std::string_view one) {
-            return sameHeaderName(one, name);
+        const auto matchesName = [&name = name](std::string_view other) {
+            return sameHeaderName(other, name);
         };
-        if (std::none_of(ConnectionHeaders.begin(), ConnectionHeaders.end(), isThis)
-            && std::none_of(named.begin(), named.end(), isThis)
+        if (std::none_of(ConnectionHeaders.begin(), ConnectionHeaders.end(), matchesName)
+            && std::none_of(connectionOptions.begin(), connectionOptions.end(), matchesName)
             && !sameHeaderName(name, "Expect")) {
-            kept.emplace_back(name, value);
+            endToEnd.emplace_back(name, value);
         }
     }
-    return kept;
+    return endToEnd;
 }
 
 } // namespace indigoway
--- a/src/relay/dialect.h
+++ b/src/relay/dialect.h
@@ -12,15 +12,15 @@
 
 namespace indigoway {
 
-/** What the head of a server's answer says, apart from its bytes. */
+/** Information from the headers of a server's answer. */
 struct AnswerFacts
 {
-    bool isGenuine = false;     ///< Bears the server's mark: it ran the request.
-    bool isNotExecuted = false; ///< The server says that it did not run it.
+    bool isGenuine = false;     ///< The server has stamped the answer, so it executed the request.
+    bool isNotExecuted = false; ///< The server states that it did not execute the request.
     std::optional<dispatch::ServerLoad> load;
 };
 
-/** What the body of an answer to one of the system's own calls grants. */
+/** Results from the body of an engine's answer. */
 struct GrantFacts
 {
     std::string reservation;
@@ -29,8 +29,8 @@
 };
 
 /**
- * How callers and backend servers spell what the dispatcher deals in. Only spelling: a dialect
- * decides nothing and keeps no state.
+ * Translates between the HTTP messages of callers and backend servers and the dispatcher's events
+ * and effects. Implementations are stateless and make no routing decisions.
  */
 class Dialect
 {
@@ -40,24 +40,26 @@
     Dialect &operator=(const Dialect &) = delete;
     virtual ~Dialect() = default;
 
-    /** Without its number, which only the relay knows. */
+    /** Parses a caller's request. The request number is set by the relay. */
     virtual dispatch::ArrivedRequest readRequest(const MessageHead &head) const = 0;
     /**
-     * @p call as it goes out. @p origin is the request whose bytes it carries, null for calls of
-     * the system's own; @p lastEventId is of the last event that the caller was passed.
+     * Builds the HTTP request for @p call.
+     * @param origin the caller's request to forward; null if the call belongs to no request
+     * @param lastEventId id of the last event forwarded to the caller, if the call resumes a
+     *        stream; otherwise empty
      */
     virtual ServerRequest writeCall(const dispatch::StartCall &call, const CallerRequest *origin,
                                     const std::string &lastEventId) const = 0;
-    /** Whether @p head answers the request named @p callerId, and not an earlier one. */
+    /** Returns whether @p head belongs to the request @p callerId rather than an earlier one. */
     virtual bool isAnswerTo(const std::string &callerId, const MessageHead &head) const = 0;
     virtual AnswerFacts readAnswer(const MessageHead &head) const = 0;
     virtual GrantFacts readGrant(dispatch::CallKind kind, std::string_view body) const = 0;
-    /** The server's headers that the caller gets, without those on framing and connections. */
+    /** Returns the headers to forward to the caller, without framing and hop-by-hop headers. */
     virtual HttpHeaders answerHeaders(const MessageHead &head) const = 0;
     virtual HttpHeaders rejectionHeaders(std::optional<Duration> retryAfter) const = 0;
 };
 
-/** @p headers without those that concern one connection only (RFC 9110, 7.6.1). */
+/** Returns the headers of @p head without the hop-by-hop headers (RFC 9110, section 7.6.1). */
 HttpHeaders endToEndHeaders(const MessageHead &head);
 
 } // namespace indigoway
--- a/src/relay/eventcutter.cpp
+++ b/src/relay/eventcutter.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Position after the next empty line at or after @p from; npos if there is none. */
+/** Returns the position after the next empty line at or after @p from; npos if there is none. */
 std::size_t endOfEvent(std::string_view text, std::size_t from)
 {
     for (std::size_t line = text.find('\n', from); line != std::string_view::npos;
@@ -22,13 +22,13 @@
 
 } // namespace
 
-std::string EventCutter::take(std::string_view bytes)
+std::string EventCutter::feed(std::string_view bytes)
 {
     m_partial.append(bytes);
     std::size_t whole = 0;
     for (std::size_t end = endOfEvent(m_partial, 0); end != std::string_view::npos;
          end = endOfEvent(m_partial, end)) {
-        read(std::string_view(m_partial).substr(whole, end - whole));
+        parseEvent(std::string_view(m_partial).substr(whole, end - whole));
         whole = end;
     }
     std::string complete = m_partial.substr(0, whole);
@@ -36,9 +36,9 @@
     return complete;
 }
 
-void EventCutter::read(std::string_view event)
+void EventCutter::parseEvent(std::string_view event)
 {
-    ++m_events;
+    ++m_eventCount;
     constexpr std::string_view IdField = "id:";
     std::size_t at = 0;
     while (at < event.size()) {
@@ -53,7 +53,7 @@
             if (line.starts_with(' ')) {
                 line.remove_prefix(1);
             }
-            m_lastId = line;
+            m_lastEventId = line;
         }
         at = end + 1;
     }
--- a/src/relay/eventcutter.h
+++ b/src/relay/eventcutter.h
@@ -7,29 +7,29 @@
 namespace indigoway {
 
 /**
- * Cuts a stream of events (text/event-stream) at the ends of events. A server may break off in
- * the middle of one; a caller who was passed that half could not go on with another server's
- * stream, which begins with the whole event.
+ * Splits a stream of server-sent events (text/event-stream) at event boundaries. Only complete
+ * events are forwarded to the caller, so that another server can resume the stream after the last
+ * event if the first server fails within an event.
  */
 class EventCutter
 {
 public:
-    /** Adds bytes and returns those that complete events, to be passed on. */
-    std::string take(std::string_view bytes);
-    bool isBetweenEvents() const { return m_partial.empty(); }
-    std::uint32_t events() const { return m_events; }
-    /** Id of the last whole event; empty if none had one. */
-    const std::string &lastId() const { return m_lastId; }
-    std::size_t held() const { return m_partial.size(); }
-    /** A new server goes on with the stream: what it broke off in is dropped. */
-    void dropPartial() { m_partial.clear(); }
+    /** Appends @p bytes to the buffer; removes and returns all complete events. */
+    std::string feed(std::string_view bytes);
+    bool isAtEventBoundary() const { return m_partial.empty(); }
+    std::uint32_t eventCount() const { return m_eventCount; }
+    /** Returns the id of the last complete event that had one; empty if none had. */
+    const std::string &lastEventId() const { return m_lastEventId; }
+    std::size_t bufferedBytes() const { return m_partial.size(); }
+    /** Discards an incomplete event before another server resumes the stream. */
+    void discardPartialEvent() { m_partial.clear(); }
 
 private:
-    void read(std::string_view event);
+    void parseEvent(std::string_view event);
 
     std::string m_partial;
-    std::string m_lastId;
-    std::uint32_t m_events = 0;
+    std::string m_lastEventId;
+    std::uint32_t m_eventCount = 0;
 };
 
 } // namespace indigoway
--- a/src/relay/messageparser.cpp
+++ b/src/relay/messageparser.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-/** How the library says that a message names no length. */
+/** Value of http_parser's content_length if the message has no Content-Length. */
 constexpr auto NoContentLength = std::numeric_limits<std::uint64_t>::max();
 
 /**
- * The library lets spaces in header names pass. A server that does not would read "Length : 3"
- * as another header than this node does, and cut the request elsewhere.
+ * Returns whether @p name is a token as defined by RFC 9110. http_parser accepts spaces in header
+ * names; a backend server that parses such a header differently would see another message length.
  */
 bool isToken(std::string_view name)
 {
-    static constexpr std::string_view Marks = "!#$%&'*+-.^_`|~";
+    static constexpr std::string_view Punctuation = "!#$%&'*+-.^_`|~";
     return !name.empty() && std::all_of(name.begin(), name.end(), [](unsigned char c) {
-        return std::isalnum(c) != 0 || Marks.find(static_cast<char>(c)) != std::string_view::npos;
+        return std::isalnum(c) != 0
+            || Punctuation.find(static_cast<char>(c)) != std::string_view::npos;
     });
 }
 
@@ -36,8 +37,8 @@
 {
     constexpr int NoContent = 204;
     constexpr int NotModified = 304;
-    constexpr int FirstFinal = 200;
-    return status >= FirstFinal && status != NoContent && status != NotModified;
+    constexpr int FirstFinalStatus = 200;
+    return status >= FirstFinalStatus && status != NoContent && status != NotModified;
 }
 
 } // namespace
@@ -80,7 +81,7 @@
     m_parser.data = this;
     m_head = {};
     m_headBytes = 0;
-    m_lastWasValue = false;
+    m_isReadingValue = false;
     m_isBodiless = isBodiless;
     m_hasStarted = false;
     m_isHeadComplete = false;
@@ -94,20 +95,20 @@
         return 0;
     }
     m_hasStarted = true;
-    const bool wasHead = !m_isHeadComplete;
-    const std::size_t used =
+    const bool wasReadingHead = !m_isHeadComplete;
+    const std::size_t consumed =
         http_parser_execute(&m_parser, &callbacks(), bytes.data(), bytes.size());
-    if (wasHead) {
-        m_headBytes += used;
+    if (wasReadingHead) {
+        m_headBytes += consumed;
     }
     const auto error = HTTP_PARSER_ERRNO(&m_parser);
     if (error != HPE_OK && error != HPE_PAUSED) {
         m_hasFailed = true;
     }
-    return used;
+    return consumed;
 }
 
-void MessageParser::feedEnd()
+void MessageParser::feedEof()
 {
     if (m_isComplete || m_hasFailed) {
         return;
@@ -116,74 +117,73 @@
     m_hasFailed = !m_isComplete;
 }
 
-int MessageParser::takeTarget(http_parser *parser, const char *at, std::size_t length)
+int MessageParser::handleUrl(http_parser *parser, const char *at, std::size_t length)
 {
-    self(parser).m_head.target.append(at, length);
+    instanceOf(parser).m_head.target.append(at, length);
     return 0;
 }
 
-int MessageParser::takeField(http_parser *parser, const char *at, std::size_t length)
+int MessageParser::handleHeaderField(http_parser *parser, const char *at, std::size_t length)
 {
-    MessageParser &one = self(parser);
-    if (one.m_isHeadComplete) {
-        return 0; // A trailer: not passed on.
+    MessageParser &self = instanceOf(parser);
+    if (self.m_isHeadComplete) {
+        return 0; // Trailers are not forwarded.
     }
-    if (one.m_head.headers.empty() || one.m_lastWasValue) {
-        one.m_head.headers.emplace_back();
-        one.m_lastWasValue = false;
+    if (self.m_head.headers.empty() || self.m_isReadingValue) {
+        self.m_head.headers.emplace_back();
+        self.m_isReadingValue = false;
     }
-    one.m_head.headers.back().first.append(at, length);
+    self.m_head.headers.back().first.append(at, length);
     return 0;
 }
 
-int MessageParser::takeValue(http_parser *parser, const char *at, std::size_t length)
+int MessageParser::handleHeaderValue(http_parser *parser, const char *at, std::size_t length)
 {
-    MessageParser &one = self(parser);
-    if (!one.m_isHeadComplete) {
-        one.m_head.headers.back().second.append(at, length);
-        one.m_lastWasValue = true;
+    MessageParser &self = instanceOf(parser);
+    if (!self.m_isHeadComplete) {
+        self.m_head.headers.back().second.append(at, length);
+        self.m_isReadingValue = true;
     }
     return 0;
 }
 
-int MessageParser::takeHead(http_parser *parser)
+int MessageParser::handleHeadersComplete(http_parser *parser)
 {
-    constexpr int NoBody = 1;
-    constexpr int Fault = -1;
-    MessageParser &one = self(parser);
-    for (const auto &[name, value] : one.m_head.headers) {
+    constexpr int SkipBody = 1;
+    constexpr int ParseError = -1;
+    MessageParser &self = instanceOf(parser);
+    for (const auto &[name, value] : self.m_head.headers) {
         if (!isToken(name) || hasControlCharacters(value)) {
-            return Fault;
+            return ParseError;
         }
     }
-    one.m_isHeadComplete = true;
-    if (one.m_kind == Kind::Request) {
-        one.m_head.method = http_method_str(static_cast<http_method>(parser->method));
+    self.m_isHeadComplete = true;
+    if (self.m_kind == Kind::Request) {
+        self.m_head.method = http_method_str(static_cast<http_method>(parser->method));
         if (parser->method != HTTP_CONNECT) {
-            parser->upgrade =
-                0; // Protocol changes are not offered; the request is an ordinary one.
+            parser->upgrade = 0; // Upgrades are not supported; treated as a regular request.
         }
     } else {
-        one.m_head.status = static_cast<int>(parser->status_code);
+        self.m_head.status = static_cast<int>(parser->status_code);
         parser->upgrade = 0;
     }
-    one.m_head.keepsConnection = http_should_keep_alive(parser) != 0;
-    one.m_head.endsWithConnection = one.m_kind == Kind::Response && !one.m_isBodiless
-        && mayHaveBody(one.m_head.status) && (parser->flags & F_CHUNKED) == 0
+    self.m_head.isKeepAlive = http_should_keep_alive(parser) != 0;
+    self.m_head.isDelimitedByClose = self.m_kind == Kind::Response && !self.m_isBodiless
+        && mayHaveBody(self.m_head.status) && (parser->flags & F_CHUNKED) == 0
         && parser->content_length == NoContentLength;
-    one.m_handler.head(one.m_head);
-    return one.m_isBodiless ? NoBody : 0;
+    self.m_handler.head(self.m_head);
+    return self.m_isBodiless ? SkipBody : 0;
 }
 
-int MessageParser::takeBody(http_parser *parser, const char *at, std::size_t length)
+int MessageParser::handleBody(http_parser *parser, const char *at, std::size_t length)
 {
-    self(parser).m_handler.body({at, length});
+    instanceOf(parser).m_handler.body({at, length});
     return 0;
 }
 
-int MessageParser::takeEnd(http_parser *parser)
+int MessageParser::handleMessageComplete(http_parser *parser)
 {
-    self(parser).m_isComplete = true;
+    instanceOf(parser).m_isComplete = true;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -193,12 +193,12 @@
     static const http_parser_settings Settings = [] {
         http_parser_settings settings;
         http_parser_settings_init(&settings);
-        settings.on_url = &MessageParser::takeTarget;
-        settings.on_header_field = &MessageParser::takeField;
-        settings.on_header_value = &MessageParser::takeValue;
-        settings.on_headers_complete = &MessageParser::takeHead;
-        settings.on_body = &MessageParser::takeBody;
-        settings.on_message_complete = &MessageParser::takeEnd;
+        settings.on_url = &MessageParser::handleUrl;
+        settings.on_header_field = &MessageParser::handleHeaderField;
+        settings.on_header_value = &MessageParser::handleHeaderValue;
+        settings.on_headers_complete = &MessageParser::handleHeadersComplete;
+        settings.on_body = &MessageParser::handleBody;
+        settings.on_message_complete = &MessageParser::handleMessageComplete;
         return settings;
     }();
     return Settings;
--- a/src/relay/messageparser.h
+++ b/src/relay/messageparser.h
@@ -10,26 +10,28 @@
 
 namespace indigoway {
 
-/** Start line and headers of a message, as they came. */
+/** Start line and headers of an HTTP message, unmodified. */
 struct MessageHead
 {
-    std::string method; ///< Of requests.
-    std::string target; ///< Of requests: path and query, byte for byte.
-    int status = 0;     ///< Of responses.
+    std::string method; ///< Request method; empty for a response.
+    std::string target; ///< Unmodified path and query of a request.
+    int status = 0;     ///< Response status; 0 for a request.
     HttpHeaders headers;
-    bool keepsConnection = false;
-    bool endsWithConnection = false; ///< A body without length or chunks.
+    bool isKeepAlive = false;        ///< The connection stays open after the message.
+    bool isDelimitedByClose = false; ///< The end of the connection marks the end of the body.
 
-    /** Value of the first header @p name, whatever its case; empty if there is none. */
+    /** Returns the first value of header @p name, ignoring case; empty if there is none. */
     std::string_view header(std::string_view name) const;
     bool hasHeader(std::string_view name) const;
 };
 
+/** Compares header names without regard to case. */
 bool sameHeaderName(std::string_view a, std::string_view b);
 
 /**
- * One HTTP/1.1 message at a time, on the parser library's strict rules: two lengths, a length
- * with chunks, and other framings that two readers could take differently are errors.
+ * Parses HTTP/1.1 messages one at a time with http_parser. Ambiguous framing, such as two
+ * Content-Length headers or Content-Length with chunked encoding, is an error, because it allows
+ * request smuggling.
  */
 class MessageParser
 {
@@ -49,32 +51,38 @@
     MessageParser &operator=(const MessageParser &) = delete;
     ~MessageParser() = default;
 
-    /** Ready for the next message. @p isBodiless: a response to HEAD. */
+    /**
+     * Prepares for the next message.
+     * @param isBodiless whether the message is a response to a HEAD request
+     */
     void reset(bool isBodiless = false);
-    /** Takes bytes up to the message's end; returns how many were used. */
+    /**
+     * Parses @p bytes up to the end of the message.
+     * @return number of bytes consumed
+     */
     std::size_t feed(std::string_view bytes);
-    /** The peer has ended the connection in good order; may complete the message. */
-    void feedEnd();
+    /** Signals a regular end of the connection, which may complete the message. */
+    void feedEof();
 
     bool hasStarted() const { return m_hasStarted; }
     bool isHeadComplete() const { return m_isHeadComplete; }
     bool isComplete() const { return m_isComplete; }
     bool hasFailed() const { return m_hasFailed; }
     const MessageHead &head() const { return m_head; }
-    /** Bytes of the head so far; of use as a bound on it. */
+    /** Returns the size of the start line and headers parsed so far, in bytes. */
     std::size_t headBytes() const { return m_headBytes; }
 
 private:
-    static MessageParser &self(http_parser *parser)
+    static MessageParser &instanceOf(http_parser *parser)
     {
         return *static_cast<MessageParser *>(parser->data);
     }
-    static int takeTarget(http_parser *parser, const char *at, std::size_t length);
-    static int takeField(http_parser *parser, const char *at, std::size_t length);
-    static int takeValue(http_parser *parser, const char *at, std::size_t length);
-    static int takeHead(http_parser *parser);
-    static int takeBody(http_parser *parser, const char *at, std::size_t length);
-    static int takeEnd(http_parser *parser);
+    static int handleUrl(http_parser *parser, const char *at, std::size_t length);
+    static int handleHeaderField(http_parser *parser, const char *at, std::size_t length);
+    static int handleHeaderValue(http_parser *parser, const char *at, std::size_t length);
+    static int handleHeadersComplete(http_parser *parser);
+    static int handleBody(http_parser *parser, const char *at, std::size_t length);
+    static int handleMessageComplete(http_parser *parser);
     static const http_parser_settings &callbacks();
 
     Kind m_kind;
@@ -82,7 +90,7 @@
     http_parser m_parser {};
     MessageHead m_head;
     std::size_t m_headBytes = 0;
-    bool m_lastWasValue = false;
+    bool m_isReadingValue = false;
     bool m_isBodiless = false;
     bool m_hasStarted = false;
     bool m_isHeadComplete = false;
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -8,8 +8,8 @@
 
 using namespace dispatch;
 
-/** An answer that is passed on whole is held in memory; none of a plain service is so large. */
-constexpr std::size_t MostHeldBytes = std::size_t {8} * 1024 * 1024;
+/** Maximum body size of an answer that is not a stream, which is buffered in memory. */
+constexpr std::size_t MaxBufferedAnswerBytes = std::size_t {8} * 1024 * 1024;
 
 TimePoint steadyNow()
 {
@@ -52,8 +52,8 @@
 {
     ArrivedRequest arrived = m_dialect.readRequest(request.head);
     arrived.request = number;
-    arrived.content = contentOf(request);
-    // Asked after the request was read, so that it cannot seem younger than what it is judged by.
+    arrived.content = contentIdOf(request);
+    // Queried after the request was read, so that the age at its arrival isn't underestimated.
     arrived.copyAge = m_copyAge ? m_copyAge() : std::nullopt;
     OpenExchange exchange;
     exchange.callerId = arrived.callerId;
@@ -72,7 +72,7 @@
 {
     const DispatchEffects effects = m_dispatcher.reduce(steadyNow(), m_random(), event);
     for (const DispatchEffect &effect : effects) {
-        std::visit([this](const auto &one) { run(one); }, effect);
+        std::visit([this](const auto &alternative) { run(alternative); }, effect);
     }
     armTimer();
 }
@@ -87,7 +87,7 @@
     return !carriesRequest(open.call.kind) || m_dialect.isAnswerTo(open.callerId, head);
 }
 
-void RequestRelay::answerBegan(CallNumber call, const MessageHead &head)
+void RequestRelay::answerStarted(CallNumber call, const MessageHead &head)
 {
     const auto it = m_calls.find(call);
     if (it == m_calls.end()) {
@@ -100,7 +100,7 @@
         && open.call.kind != CallKind::Prefill;
 }
 
-void RequestRelay::answerData(CallNumber call, std::string_view data)
+void RequestRelay::answerDataReceived(CallNumber call, std::string_view data)
 {
     const auto it = m_calls.find(call);
     if (it == m_calls.end()) {
@@ -110,7 +110,7 @@
     const auto exchange = m_exchanges.find(open.call.request);
     if (!open.isStream) {
         open.body.append(data);
-        if (open.body.size() > MostHeldBytes) {
+        if (open.body.size() > MaxBufferedAnswerBytes) {
             m_servers.abandon(call);
             callEnded(call, TransferEnd::Broken, "answer too large");
         }
@@ -119,55 +119,56 @@
     if (exchange == m_exchanges.end()) {
         return;
     }
-    const std::string whole = exchange->second.events.take(data);
-    if (whole.empty()) {
+    const std::string completeEvents = exchange->second.events.feed(data);
+    if (completeEvents.empty()) {
         return;
     }
     if (open.isForwarded) {
-        m_callers.sendPiece(open.call.request, whole);
+        m_callers.sendChunk(open.call.request, completeEvents);
         return;
     }
-    open.ready += whole;
-    if (!open.hasBegun) {
-        open.hasBegun = true;
+    open.bufferedEvents += completeEvents;
+    if (!open.hasStarted) {
+        open.hasStarted = true;
         post(StreamStarted {call, open.head.status, open.facts.load});
     }
 }
 
-void RequestRelay::callEnded(CallNumber call, TransferEnd end, const std::string &why)
+void RequestRelay::callEnded(CallNumber call, TransferEnd end, const std::string &reason)
 {
-    auto node = m_calls.extract(call);
-    if (node.empty()) {
+    auto callNode = m_calls.extract(call);
+    if (callNode.empty()) {
         return;
     }
-    const CallEnded ended = outcomeOf(node.mapped(), end, why);
-    m_answered.insert(std::move(node));
+    const CallEnded ended = resultOf(callNode.mapped(), end, reason);
+    m_endedCalls.insert(std::move(callNode));
     post(ended);
-    m_answered.erase(call);
+    m_endedCalls.erase(call);
 }
 
-CallEnded RequestRelay::outcomeOf(const OpenCall &open, TransferEnd end,
-                                  const std::string &why) const
+CallEnded RequestRelay::resultOf(const OpenCall &open, TransferEnd end,
+                                 const std::string &reason) const
 {
     CallEnded ended;
     ended.call = open.call.call;
     ended.status = open.head.status;
     ended.load = open.facts.load;
-    ended.reason = why;
-    ended.isConnectionLost = end == TransferEnd::Lost;
+    ended.reason = reason;
+    ended.isConnectionLost = end == TransferEnd::ConnectionLost;
     if (open.call.kind == CallKind::Probe) {
         ended.end = end == TransferEnd::Complete ? CallEnd::Complete : CallEnd::NotConnected;
         return ended;
     }
     if (open.isStream) {
         const auto exchange = m_exchanges.find(open.call.request);
-        const bool isBetween =
-            exchange == m_exchanges.end() || exchange->second.events.isBetweenEvents();
-        ended.events = exchange == m_exchanges.end() ? 0 : exchange->second.events.events();
-        const bool isWhole = isBetween && open.hasBegun;
-        ended.end = end == TransferEnd::Complete && isWhole ? CallEnd::Complete : CallEnd::Broken;
-        // A stream without a length ends with its connection: only its content shows a loss.
-        ended.isConnectionLost |= end == TransferEnd::Complete && !isWhole;
+        const bool isAtBoundary =
+            exchange == m_exchanges.end() || exchange->second.events.isAtEventBoundary();
+        ended.events = exchange == m_exchanges.end() ? 0 : exchange->second.events.eventCount();
+        const bool isComplete = isAtBoundary && open.hasStarted;
+        ended.end =
+            end == TransferEnd::Complete && isComplete ? CallEnd::Complete : CallEnd::Broken;
+        // A stream delimited by close is complete only if it ends at an event boundary.
+        ended.isConnectionLost |= end == TransferEnd::Complete && !isComplete;
         return ended;
     }
     if (end != TransferEnd::Complete) {
@@ -191,7 +192,7 @@
         return ended;
     }
     if (!open.facts.isGenuine) {
-        // No server's mark: these bytes are nobody's answer, and whether it ran is not known.
+        // Without a server stamp it is unknown whether the server executed the request.
         ended.end = CallEnd::Broken;
         ended.reason =
             "answer without the server's mark, status " + std::to_string(open.head.status);
@@ -212,9 +213,9 @@
         }
         origin = &exchange->second.request;
         open.callerId = exchange->second.callerId;
-        exchange->second.events.dropPartial();
+        exchange->second.events.discardPartialEvent();
         if (effect.isResumption) {
-            lastEventId = exchange->second.events.lastId();
+            lastEventId = exchange->second.events.lastEventId();
         }
     }
     ServerRequest request;
@@ -241,8 +242,8 @@
 
 void RequestRelay::run(const DeliverAnswer &effect)
 {
-    const auto answer = m_answered.find(effect.call);
-    if (answer != m_answered.end()) {
+    const auto answer = m_endedCalls.find(effect.call);
+    if (answer != m_endedCalls.end()) {
         const OpenCall &open = answer->second;
         m_callers.respond(effect.request, open.head.status, m_dialect.answerHeaders(open.head),
                           open.body);
@@ -261,10 +262,10 @@
     open.isForwarded = true;
     if (!exchange->second.isStreaming) {
         exchange->second.isStreaming = true;
-        m_callers.beginStream(effect.request, open.head.status, m_dialect.answerHeaders(open.head));
+        m_callers.startStream(effect.request, open.head.status, m_dialect.answerHeaders(open.head));
     }
-    m_callers.sendPiece(effect.request, open.ready);
-    open.ready.clear();
+    m_callers.sendChunk(effect.request, open.bufferedEvents);
+    open.bufferedEvents.clear();
 }
 
 void RequestRelay::run(const EndStream &effect)
@@ -275,7 +276,7 @@
 
 void RequestRelay::run(const BreakStream &effect)
 {
-    m_callers.breakAnswer(effect.request);
+    m_callers.abortAnswer(effect.request);
     m_exchanges.erase(effect.request);
 }
 
@@ -326,10 +327,10 @@
 void RequestRelay::armTimer()
 {
     const auto next = m_dispatcher.nextDeadline();
-    if (next == m_timerAt) {
+    if (next == m_timerDeadline) {
         return;
     }
-    m_timerAt = next;
+    m_timerDeadline = next;
     if (!next) {
         event_del(m_timer.get());
         return;
@@ -340,10 +341,10 @@
     event_add(m_timer.get(), &delay);
 }
 
-void RequestRelay::handleTimer(int /*socket*/, short /*what*/, void *self)
+void RequestRelay::handleTimer(int /*socket*/, short /*events*/, void *self)
 {
     auto &relay = *static_cast<RequestRelay *>(self);
-    relay.m_timerAt.reset();
+    relay.m_timerDeadline.reset();
     relay.post(TimePassed {});
 }
 
--- a/src/relay/requestrelay.h
+++ b/src/relay/requestrelay.h
@@ -14,8 +14,8 @@
 namespace indigoway {
 
 /**
- * Carries the dispatcher's effects out over sockets, and tells it what came of them. The bytes of
- * requests and answers are here and never in the dispatcher.
+ * Executes the dispatcher's effects on sockets and passes the results to it as events. The relay
+ * holds the bodies of requests and answers; the dispatcher never sees them.
  */
 class RequestRelay : public ServerCallObserver
 {
@@ -33,27 +33,27 @@
     void setSchedulerHandler(SchedulerHandler handler) { m_schedulerHandler = std::move(handler); }
     void setQuotaHandler(QuotaHandler handler) { m_quotaHandler = std::move(handler); }
     void setCrashHandler(CrashHandler handler) { m_crashHandler = std::move(handler); }
-    /** How old this node's copy of the desired state may be; nothing: not known. */
+    /** Returns the maximum age of this node's copy of the desired state; nothing if unknown. */
     using CopyAge = std::function<std::optional<Duration>()>;
     void setCopyAge(CopyAge copyAge) { m_copyAge = std::move(copyAge); }
     void setEndedHandler(EndedHandler handler) { m_endedHandler = std::move(handler); }
     std::optional<std::string> listenOn(const std::string &address);
     void setLimits(const CallerLimits &limits) { m_callers.setLimits(limits); }
     void beginLeaving() { m_callers.beginLeaving(); }
-    /** Has the dispatcher look at the time; for what changed outside of a request. */
+    /** Makes the dispatcher check its deadlines after a change outside of the relay. */
     void wake() { post(dispatch::TimePassed {}); }
-    /** An event from outside of the relay's own sockets. */
+    /** Passes @p event to the dispatcher and executes the resulting effects. */
     void post(const dispatch::DispatchEvent &event);
     const CallerListener &callers() const { return m_callers; }
     const ServerConnections &serverConnections() const { return m_servers; }
 
     bool isAnswerTo(CallNumber call, const MessageHead &head) override;
-    void answerBegan(CallNumber call, const MessageHead &head) override;
-    void answerData(CallNumber call, std::string_view data) override;
-    void callEnded(CallNumber call, TransferEnd end, const std::string &why) override;
+    void answerStarted(CallNumber call, const MessageHead &head) override;
+    void answerDataReceived(CallNumber call, std::string_view data) override;
+    void callEnded(CallNumber call, TransferEnd end, const std::string &reason) override;
 
 private:
-    /** A request whose caller waits. */
+    /** A caller's request and the state of its answer. */
     struct OpenExchange
     {
         CallerRequest request;
@@ -61,18 +61,18 @@
         EventCutter events;
         bool isStreaming = false;
     };
-    /** A call that is under way. */
+    /** A call to a backend server and the state of its answer. */
     struct OpenCall
     {
         dispatch::StartCall call;
         std::string callerId;
         MessageHead head;
         AnswerFacts facts;
-        std::string body;  ///< Of answers that are passed on whole.
-        std::string ready; ///< Whole events that the dispatcher has not let pass yet.
+        std::string body;           ///< Body of an answer that is not a stream.
+        std::string bufferedEvents; ///< Complete events received before ForwardStream.
         bool isStream = false;
         bool isForwarded = false;
-        bool hasBegun = false;
+        bool hasStarted = false;
     };
 
     void requestArrived(RequestNumber number, CallerRequest request);
@@ -90,21 +90,21 @@
     void run(const dispatch::LogDecision &effect);
     void run(const dispatch::RequestEnded &effect);
     void armTimer();
-    dispatch::CallEnded outcomeOf(const OpenCall &open, TransferEnd end,
-                                  const std::string &why) const;
-    static void handleTimer(int socket, short what, void *self);
+    dispatch::CallEnded resultOf(const OpenCall &open, TransferEnd end,
+                                 const std::string &reason) const;
+    static void handleTimer(int socket, short events, void *self);
 
     dispatch::Dispatcher &m_dispatcher;
     const Dialect &m_dialect;
     std::mt19937_64 m_random;
     EventHandle m_timer;
-    std::optional<TimePoint> m_timerAt;
+    std::optional<TimePoint> m_timerDeadline;
     CallerListener m_callers;
     ServerConnections m_servers;
     std::map<RequestNumber, OpenExchange> m_exchanges;
     std::map<CallNumber, OpenCall> m_calls;
-    /** Calls whose end was told; their answers may be delivered while the effects run. */
-    std::map<CallNumber, OpenCall> m_answered;
+    /** Calls whose CallEnded is being processed; DeliverAnswer uses their answers. */
+    std::map<CallNumber, OpenCall> m_endedCalls;
     RecordHandler m_recordHandler;
     SchedulerHandler m_schedulerHandler;
     QuotaHandler m_quotaHandler;
--- a/src/relay/serverconnections.cpp
+++ b/src/relay/serverconnections.cpp
@@ -16,16 +16,17 @@
 namespace {
 
 /**
- * A connection is made within some milliseconds. A server that is down or behind a partition does
- * not answer at all, and a full listen queue drops the first packet; both are found so late only.
+ * Detects servers that don't respond to SYN packets: a stopped VM, a network partition, or a full
+ * listen queue.
  */
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(250);
-constexpr auto LongestUnacknowledged = std::chrono::milliseconds(2500);
-/** Kept for a server that does not tell how long it keeps an idle connection. */
-constexpr Duration KeptUntold = std::chrono::milliseconds(400);
-/** A server closes at the time it tells; this much earlier the connection is not used again. */
-constexpr Duration KeptMargin = std::chrono::milliseconds(600);
-constexpr Duration LongestKept = std::chrono::seconds(8);
+/** Time without acknowledgement after which a connection to a server is closed. */
+constexpr auto TcpUserTimeout = std::chrono::milliseconds(2500);
+/** Idle time after which a connection is closed if the server sends no Keep-Alive timeout. */
+constexpr Duration DefaultIdleTime = std::chrono::milliseconds(400);
+/** Time before the server's Keep-Alive timeout at which a connection is no longer reused. */
+constexpr Duration IdleTimeMargin = std::chrono::milliseconds(600);
+constexpr Duration MaxIdleTime = std::chrono::seconds(8);
 
 timeval timevalOf(Duration duration)
 {
@@ -33,19 +34,19 @@
     return {seconds.count(), (duration - seconds).count()};
 }
 
-/** How long @p head's server keeps the connection, with a margin. */
-Duration keptFor(const MessageHead &head)
+/** Returns how long the connection may be idle according to @p head, less a margin. */
+Duration idleTimeFrom(const MessageHead &head)
 {
-    const std::string_view told = head.header("Keep-Alive");
-    const std::size_t at = told.find("timeout=");
+    const std::string_view keepAlive = head.header("Keep-Alive");
+    const std::size_t at = keepAlive.find("timeout=");
     if (at == std::string_view::npos) {
-        return KeptUntold;
+        return DefaultIdleTime;
     }
     constexpr std::size_t NameLength = 8;
     const long seconds =
-        std::strtol(std::string(told.substr(at + NameLength)).c_str(), nullptr, 10);
-    const Duration time = std::chrono::seconds(std::clamp(seconds, 0L, 3600L));
-    return std::clamp(time - KeptMargin, Duration(0), LongestKept);
+        std::strtol(std::string(keepAlive.substr(at + NameLength)).c_str(), nullptr, 10);
+    const Duration idleTime = std::chrono::seconds(std::clamp(seconds, 0L, 3600L));
+    return std::clamp(idleTime - IdleTimeMargin, Duration(0), MaxIdleTime);
 }
 
 } // namespace
@@ -59,18 +60,19 @@
     bufferevent *bev = nullptr;
     event *timer = nullptr;
     MessageParser parser;
-    CallNumber call; ///< None while it is kept idle.
+    CallNumber call; ///< None while the connection is idle.
     Duration idleTimeout {};
-    std::uint32_t mostKept = 1; ///< Idle ones to its server, this one included.
+    std::uint32_t maxIdleConnections = 1; ///< Maximum for the server, including this one.
     /**
-     * The request, until the connection is known to be made. Written before that, it would go out
-     * as soon as the connection is made, and a loop that finds the end of the time for connecting
-     * in the same round would tell that nothing was sent: the request would be sent once more.
+     * Request to send once the connection is established. If it were written to the bufferevent
+     * before, it could be sent although the connect timeout in the same iteration of the event loop
+     * reports NotConnected, and the request would be executed twice.
      */
-    std::string unsent;
+    std::string unsentRequest;
     bool isConnected = false;
     bool isClosing = false;
-    bool isForeign = false; ///< The message being read answers another request.
+    /** The message being read is informational or answers an earlier request; it is discarded. */
+    bool isDiscarded = false;
     bool isHeadRequest = false;
     bool isConnectOnly = false;
 
@@ -89,10 +91,10 @@
 ServerConnections::ServerConnections(event_base *base, ServerCallObserver &observer)
     : m_base(base)
     , m_observer(observer)
-    , m_closer(event_new(
+    , m_closeEvent(event_new(
           base, -1, 0,
           [](evutil_socket_t, short, void *self) {
-              static_cast<ServerConnections *>(self)->closeNow();
+              static_cast<ServerConnections *>(self)->closeScheduled();
           },
           this))
 { }
@@ -101,17 +103,17 @@
 
 void ServerConnections::start(const ServerRequest &request)
 {
-    const bool isNew = request.needsNewConnection || request.isConnectOnly;
-    Connection *kept = isNew ? nullptr : keptConnection(request);
-    Connection &connection = kept ? *kept : connect(request);
+    const bool requiresNew = request.needsNewConnection || request.isConnectOnly;
+    Connection *idle = requiresNew ? nullptr : takeIdleConnection(request);
+    Connection &connection = idle ? *idle : connect(request);
     connection.call = request.call;
     connection.idleTimeout = request.idleTimeout;
-    connection.mostKept = request.maxIdleConnections;
+    connection.maxIdleConnections = request.maxIdleConnections;
     connection.isConnectOnly = request.isConnectOnly;
     m_calls[request.call] = connection.number;
     send(connection, request);
     if (connection.isConnected) {
-        armSilence(connection);
+        armIdleTimer(connection);
     }
 }
 
@@ -124,25 +126,25 @@
     Connection &connection = *m_connections.at(it->second);
     m_calls.erase(it);
     connection.call = {};
-    closeSoon(connection);
+    scheduleClose(connection);
 }
 
 std::size_t ServerConnections::kept() const
 {
     std::size_t count = 0;
-    for (const auto &[server, connections] : m_kept) {
+    for (const auto &[server, connections] : m_idle) {
         count += connections.size();
     }
     return count;
 }
 
-ServerConnections::Connection *ServerConnections::keptConnection(const ServerRequest &request)
+ServerConnections::Connection *ServerConnections::takeIdleConnection(const ServerRequest &request)
 {
-    const auto it = m_kept.find(request.server);
-    if (it == m_kept.end() || it->second.empty()) {
+    const auto it = m_idle.find(request.server);
+    if (it == m_idle.end() || it->second.empty()) {
         return nullptr;
     }
-    // The one used last is the least likely to be closed by the server at this moment.
+    // The most recently used connection is the least likely to be closed by the server.
     Connection &connection = *m_connections.at(it->second.back());
     it->second.pop_back();
     event_del(connection.timer);
@@ -156,21 +158,22 @@
     ++m_connectionsMade;
     MessageParser::Handler handler;
     handler.head = [this, number](const MessageHead &head) {
-        Connection &one = *m_connections.at(number);
-        constexpr int FirstFinal = 200;
-        one.isForeign = head.status < FirstFinal || !m_observer.isAnswerTo(one.call, head);
-        if (!one.isForeign) {
-            m_observer.answerBegan(one.call, head);
+        Connection &connection = *m_connections.at(number);
+        constexpr int FirstFinalStatus = 200;
+        connection.isDiscarded =
+            head.status < FirstFinalStatus || !m_observer.isAnswerTo(connection.call, head);
+        if (!connection.isDiscarded) {
+            m_observer.answerStarted(connection.call, head);
         }
     };
     handler.body = [this, number](std::string_view data) {
-        Connection &one = *m_connections.at(number);
-        if (!one.isForeign && !one.call.isNone()) {
-            m_observer.answerData(one.call, data);
+        Connection &connection = *m_connections.at(number);
+        if (!connection.isDiscarded && !connection.call.isNone()) {
+            m_observer.answerDataReceived(connection.call, data);
         }
     };
-    auto made = std::make_unique<Connection>(std::move(handler));
-    Connection &connection = *made;
+    auto created = std::make_unique<Connection>(std::move(handler));
+    Connection &connection = *created;
     connection.owner = this;
     connection.number = number;
     connection.server = request.server;
@@ -179,7 +182,7 @@
         bufferevent_socket_new(m_base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     connection.timer = event_new(m_base, -1, 0, &ServerConnections::handleTimer, &connection);
     connection.parser.reset(request.method == "HEAD");
-    m_connections.emplace(number, std::move(made));
+    m_connections.emplace(number, std::move(created));
     bufferevent_setcb(connection.bev, &ServerConnections::handleRead, nullptr,
                       &ServerConnections::handleEvent, &connection);
     bufferevent_enable(connection.bev, EV_READ | EV_WRITE);
@@ -199,7 +202,7 @@
         return connection;
     }
     setNoDelay(bufferevent_getfd(connection.bev));
-    setUserTimeout(bufferevent_getfd(connection.bev), LongestUnacknowledged);
+    setUserTimeout(bufferevent_getfd(connection.bev), TcpUserTimeout);
     return connection;
 }
 
@@ -219,17 +222,17 @@
     if (connection.isConnected) {
         bufferevent_write(connection.bev, text.data(), text.size());
     } else {
-        connection.unsent = std::move(text);
+        connection.unsentRequest = std::move(text);
     }
 }
 
-void ServerConnections::handleRead(bufferevent * /*bev*/, void *connection)
+void ServerConnections::handleRead(bufferevent * /*bev*/, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    one.owner->readMore(one);
+    auto &connection = *static_cast<Connection *>(context);
+    connection.owner->readInput(connection);
 }
 
-void ServerConnections::readMore(Connection &connection)
+void ServerConnections::readInput(Connection &connection)
 {
     evbuffer *input = bufferevent_get_input(connection.bev);
     if (connection.isClosing) {
@@ -237,17 +240,17 @@
         return;
     }
     if (connection.call.isNone()) {
-        // Bytes that nobody asked for: an extra answer, or none at all.
-        closeSoon(connection);
+        // Data without a pending call.
+        scheduleClose(connection);
         return;
     }
-    armSilence(connection);
+    armIdleTimer(connection);
     while (!connection.call.isNone() && !connection.isClosing && evbuffer_get_length(input) > 0) {
         const std::size_t size = evbuffer_get_length(input);
         const auto *bytes =
             reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-        const std::size_t used = connection.parser.feed({bytes, size});
-        evbuffer_drain(input, used);
+        const std::size_t consumed = connection.parser.feed({bytes, size});
+        evbuffer_drain(input, consumed);
         if (connection.isClosing) {
             return;
         }
@@ -256,118 +259,120 @@
             return;
         }
         if (connection.parser.isComplete()) {
-            messageComplete(connection);
+            handleMessageComplete(connection);
         }
     }
 }
 
-void ServerConnections::messageComplete(Connection &connection)
+void ServerConnections::handleMessageComplete(Connection &connection)
 {
-    if (connection.isForeign) {
-        const bool keeps = connection.parser.head().keepsConnection;
-        connection.isForeign = false;
+    if (connection.isDiscarded) {
+        const bool isKeepAlive = connection.parser.head().isKeepAlive;
+        connection.isDiscarded = false;
         connection.parser.reset(connection.isHeadRequest);
-        if (!keeps) {
+        if (!isKeepAlive) {
             finish(connection, TransferEnd::Broken, "closed after another request's answer", false);
         }
         return;
     }
-    const bool hasMore = evbuffer_get_length(bufferevent_get_input(connection.bev)) > 0;
+    const bool hasExtraData = evbuffer_get_length(bufferevent_get_input(connection.bev)) > 0;
     const MessageHead &head = connection.parser.head();
     finish(connection, TransferEnd::Complete, {},
-           head.keepsConnection && !head.endsWithConnection && !hasMore);
+           head.isKeepAlive && !head.isDelimitedByClose && !hasExtraData);
 }
 
-void ServerConnections::finish(Connection &connection, TransferEnd end, const std::string &why,
-                               bool mayKeep)
+void ServerConnections::finish(Connection &connection, TransferEnd end, const std::string &reason,
+                               bool isReusable)
 {
     const CallNumber call = connection.call;
     connection.call = {};
     m_calls.erase(call);
-    if (mayKeep) {
-        keep(connection);
+    if (isReusable) {
+        returnToPool(connection);
     } else {
-        closeSoon(connection);
+        scheduleClose(connection);
     }
     if (!call.isNone()) {
-        m_observer.callEnded(call, end, why);
+        m_observer.callEnded(call, end, reason);
     }
 }
 
-void ServerConnections::keep(Connection &connection)
+void ServerConnections::returnToPool(Connection &connection)
 {
-    const Duration time = keptFor(connection.parser.head());
-    auto &kept = m_kept[connection.server];
-    if (time.count() <= 0 || kept.size() >= connection.mostKept) {
-        closeSoon(connection);
+    const Duration idleTime = idleTimeFrom(connection.parser.head());
+    auto &idle = m_idle[connection.server];
+    if (idleTime.count() <= 0 || idle.size() >= connection.maxIdleConnections) {
+        scheduleClose(connection);
         return;
     }
-    kept.push_back(connection.number);
-    const timeval limit = timevalOf(time);
+    idle.push_back(connection.number);
+    const timeval limit = timevalOf(idleTime);
     event_add(connection.timer, &limit);
 }
 
-void ServerConnections::handleEvent(bufferevent * /*bev*/, short what, void *connection)
+void ServerConnections::handleEvent(bufferevent * /*bev*/, short events, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    ServerConnections &owner = *one.owner;
-    if (one.isClosing) {
+    auto &connection = *static_cast<Connection *>(context);
+    ServerConnections &owner = *connection.owner;
+    if (connection.isClosing) {
         return;
     }
-    if ((what & BEV_EVENT_CONNECTED) != 0) {
-        one.isConnected = true;
-        event_del(one.timer);
-        if (one.isConnectOnly) {
-            owner.finish(one, TransferEnd::Complete, {}, false);
+    if ((events & BEV_EVENT_CONNECTED) != 0) {
+        connection.isConnected = true;
+        event_del(connection.timer);
+        if (connection.isConnectOnly) {
+            owner.finish(connection, TransferEnd::Complete, {}, false);
             return;
         }
-        bufferevent_write(one.bev, one.unsent.data(), one.unsent.size());
-        one.unsent.clear();
-        owner.armSilence(one);
+        bufferevent_write(connection.bev, connection.unsentRequest.data(),
+                          connection.unsentRequest.size());
+        connection.unsentRequest.clear();
+        owner.armIdleTimer(connection);
         return;
     }
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) {
+    if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) {
         return;
     }
-    if (!one.isConnected) {
-        owner.finish(one, TransferEnd::NotConnected, "connection refused", false);
+    if (!connection.isConnected) {
+        owner.finish(connection, TransferEnd::NotConnected, "connection refused", false);
         return;
     }
-    if (one.call.isNone()) {
-        owner.closeSoon(one);
+    if (connection.call.isNone()) {
+        owner.scheduleClose(connection);
         return;
     }
-    owner.readMore(one);
-    if (one.isClosing || one.call.isNone()) {
+    owner.readInput(connection);
+    if (connection.isClosing || connection.call.isNone()) {
         return;
     }
-    const bool isOrderly = (what & BEV_EVENT_EOF) != 0;
-    if (isOrderly && one.parser.isHeadComplete() && !one.isForeign) {
-        one.parser.feedEnd();
-        if (one.parser.isComplete()) {
-            owner.finish(one, TransferEnd::Complete, {}, false);
+    const bool isOrderly = (events & BEV_EVENT_EOF) != 0;
+    if (isOrderly && connection.parser.isHeadComplete() && !connection.isDiscarded) {
+        connection.parser.feedEof();
+        if (connection.parser.isComplete()) {
+            owner.finish(connection, TransferEnd::Complete, {}, false);
             return;
         }
     }
-    owner.finish(one, TransferEnd::Lost, isOrderly ? "closed early" : "connection reset", false);
+    owner.finish(connection, TransferEnd::ConnectionLost,
+                 isOrderly ? "closed early" : "connection reset", false);
 }
 
-void ServerConnections::handleTimer(int /*socket*/, short /*what*/, void *connection)
+void ServerConnections::handleTimer(int /*socket*/, short /*events*/, void *context)
 {
-    auto &one = *static_cast<Connection *>(connection);
-    ServerConnections &owner = *one.owner;
-    if (one.call.isNone()) {
-        owner.closeSoon(one);
+    auto &connection = *static_cast<Connection *>(context);
+    ServerConnections &owner = *connection.owner;
+    if (connection.call.isNone()) {
+        owner.scheduleClose(connection);
         return;
     }
-    if (!one.isConnected) {
-        owner.finish(one, TransferEnd::NotConnected, "no connection in time", false);
+    if (!connection.isConnected) {
+        owner.finish(connection, TransferEnd::NotConnected, "no connection in time", false);
         return;
     }
-    owner.finish(one, TransferEnd::Broken, "silent for too long", false);
+    owner.finish(connection, TransferEnd::Broken, "silent for too long", false);
 }
 
-void ServerConnections::armSilence(Connection &connection)
+void ServerConnections::armIdleTimer(Connection &connection)
 {
     if (connection.idleTimeout.count() <= 0) {
         return;
@@ -376,31 +381,31 @@
     event_add(connection.timer, &limit);
 }
 
-void ServerConnections::closeSoon(Connection &connection)
+void ServerConnections::scheduleClose(Connection &connection)
 {
     if (connection.isClosing) {
         return;
     }
     connection.isClosing = true;
     event_del(connection.timer);
-    const auto kept = m_kept.find(connection.server);
-    if (kept != m_kept.end()) {
-        std::erase(kept->second, connection.number);
+    const auto idle = m_idle.find(connection.server);
+    if (idle != m_idle.end()) {
+        std::erase(idle->second, connection.number);
     }
-    // The server learns at once that nobody waits; a mere end of sending could mean more to come.
+    // A reset makes the server abort the request at once; a FIN could be a half-close.
     if (bufferevent_getfd(connection.bev) >= 0) {
         resetOnClose(bufferevent_getfd(connection.bev));
     }
-    m_closing.push_back(connection.number);
-    event_active(m_closer.get(), EV_TIMEOUT, 1);
+    m_scheduledForClose.push_back(connection.number);
+    event_active(m_closeEvent.get(), EV_TIMEOUT, 1);
 }
 
-void ServerConnections::closeNow()
+void ServerConnections::closeScheduled()
 {
-    for (const ConnectionNumber number : m_closing) {
+    for (const ConnectionNumber number : m_scheduledForClose) {
         m_connections.erase(number);
     }
-    m_closing.clear();
+    m_scheduledForClose.clear();
 }
 
 } // namespace indigoway
--- a/src/relay/serverconnections.h
+++ b/src/relay/serverconnections.h
@@ -17,30 +17,30 @@
 
 namespace indigoway {
 
-/** A request as it goes out to a backend server. */
+/** HTTP request to a backend server. */
 struct ServerRequest
 {
     CallNumber call;
-    ServerName server;   ///< Kept connections are of one life of a server.
+    ServerName server;   ///< Identifies the server process; connections are reused for it only.
     std::string address; ///< "IP:port"
     std::string method;
     std::string target;
-    HttpHeaders headers; ///< Without those on framing and connections.
+    HttpHeaders headers; ///< Without framing and hop-by-hop headers.
     std::string body;
-    Duration idleTimeout {}; ///< Longest time without a byte from the server; 0: no bound.
+    Duration idleTimeout {}; ///< Maximum time without data from the server; 0 for none.
     bool needsNewConnection = false;
-    bool isConnectOnly = false; ///< Nothing is sent; complete once the connection is made.
-    std::uint32_t maxIdleConnections = 1; ///< Idle ones to this server, at the most.
+    bool isConnectOnly = false;           ///< Opens a connection without sending data.
+    std::uint32_t maxIdleConnections = 1; ///< Maximum of idle connections to this server.
 };
 
 enum class TransferEnd {
     NotConnected, ///< Nothing was sent.
     Complete,
-    Lost,   ///< The connection ended before the answer did.
-    Broken, ///< Silent for too long, or bytes that are no answer.
+    ConnectionLost, ///< The connection ended before the answer was complete.
+    Broken,         ///< Idle timeout or malformed answer.
 };
 
-/** What a call's owner is told. Every call ends by ended(), unless it is abandoned. */
+/** Receives the events of calls. callEnded() follows once per call, unless it is abandoned. */
 class ServerCallObserver
 {
 public:
@@ -50,20 +50,20 @@
     virtual ~ServerCallObserver() = default;
 
     /**
-     * False if this is not the answer to @p call but one to an earlier request that came late:
-     * it is read and dropped, and the next one waited for.
+     * Returns whether @p head belongs to the answer to @p call. Otherwise it is a late answer to an
+     * earlier request on the connection, which is discarded.
      */
     virtual bool isAnswerTo(CallNumber call, const MessageHead &head) = 0;
-    virtual void answerBegan(CallNumber call, const MessageHead &head) = 0;
-    virtual void answerData(CallNumber call, std::string_view data) = 0;
-    virtual void callEnded(CallNumber call, TransferEnd end, const std::string &why) = 0;
+    virtual void answerStarted(CallNumber call, const MessageHead &head) = 0;
+    virtual void answerDataReceived(CallNumber call, std::string_view data) = 0;
+    virtual void callEnded(CallNumber call, TransferEnd end, const std::string &reason) = 0;
 };
 
 /**
- * The backend servers' side. Tells an answer that ends with an orderly close from one that was
- * reset, which evhttp's client does not; where an answer has no length that is all that shows
- * whether it is whole. Connections are kept per server and life; one whose call was abandoned,
- * or that carries bytes nobody asked for, is closed.
+ * HTTP/1.1 client for backend servers with a connection pool for each server process. Unlike the
+ * client of evhttp, it distinguishes a regular close from a reset, which tells whether an answer
+ * without a length is complete. A connection is closed if its call is abandoned or if it receives
+ * data without a call.
  */
 class ServerConnections
 {
@@ -73,12 +73,12 @@
     ServerConnections(const ServerConnections &) = delete;
     ServerConnections &operator=(const ServerConnections &) = delete;
 
-    /** The observer is never called from inside start(). */
+    /** Starts a call. The observer is called from the event loop only, never from start(). */
     void start(const ServerRequest &request);
-    /** Closes the call's connection; the observer is not told of it any more. */
+    /** Closes the call's connection; the observer receives no further events of the call. */
     void abandon(CallNumber call);
-    std::size_t open() const { return m_calls.size(); }
-    /** Idle connections. */
+    std::size_t openCalls() const { return m_calls.size(); }
+    /** Returns the number of idle connections. */
     std::size_t kept() const;
     std::uint64_t connectionsMade() const { return m_connectionsMade; }
 
@@ -86,27 +86,29 @@
     struct Connection;
     using ConnectionNumber = Number<struct ServerConnectionTag>;
 
-    static void handleRead(bufferevent *bev, void *connection);
-    static void handleEvent(bufferevent *bev, short what, void *connection);
-    static void handleTimer(int socket, short what, void *connection);
-    Connection *keptConnection(const ServerRequest &request);
+    static void handleRead(bufferevent *bev, void *context);
+    static void handleEvent(bufferevent *bev, short events, void *context);
+    static void handleTimer(int socket, short events, void *context);
+    Connection *takeIdleConnection(const ServerRequest &request);
     Connection &connect(const ServerRequest &request);
     void send(Connection &connection, const ServerRequest &request);
-    void readMore(Connection &connection);
-    void messageComplete(Connection &connection);
-    void finish(Connection &connection, TransferEnd end, const std::string &why, bool mayKeep);
-    void keep(Connection &connection);
-    void armSilence(Connection &connection);
-    void closeSoon(Connection &connection);
-    void closeNow();
+    void readInput(Connection &connection);
+    void handleMessageComplete(Connection &connection);
+    void finish(Connection &connection, TransferEnd end, const std::string &reason,
+                bool isReusable);
+    void returnToPool(Connection &connection);
+    void armIdleTimer(Connection &connection);
+    void scheduleClose(Connection &connection);
+    void closeScheduled();
 
     event_base *m_base;
     ServerCallObserver &m_observer;
-    EventHandle m_closer;
+    EventHandle m_closeEvent;
     std::map<ConnectionNumber, std::unique_ptr<Connection>> m_connections;
     std::map<CallNumber, ConnectionNumber> m_calls;
-    std::map<ServerName, std::deque<ConnectionNumber>> m_kept;
-    std::vector<ConnectionNumber> m_closing; ///< Closed by m_closer, outside their callbacks.
+    std::map<ServerName, std::deque<ConnectionNumber>> m_idle;
+    /** Closed by m_closeEvent, outside of their callbacks. */
+    std::vector<ConnectionNumber> m_scheduledForClose;
     std::uint64_t m_lastConnection = 0;
     std::uint64_t m_connectionsMade = 0;
 };
--- a/src/relay/sockets.cpp
+++ b/src/relay/sockets.cpp
@@ -12,9 +12,9 @@
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-void setUserTimeout(int socket, std::chrono::milliseconds longest)
+void setUserTimeout(int socket, std::chrono::milliseconds timeout)
 {
-    const auto milliseconds = static_cast<unsigned>(longest.count());
+    const auto milliseconds = static_cast<unsigned>(timeout.count());
     setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
 }
 
--- a/src/relay/sockets.h
+++ b/src/relay/sockets.h
@@ -6,14 +6,14 @@
 
 namespace indigoway {
 
-/** Sends each piece at once: events of a stream are small and must not wait for each other. */
+/** Disables Nagle's algorithm, so that small stream events are sent without delay. */
 void setNoDelay(int socket);
 /**
- * Gives a connection up whose peer acknowledges nothing for @p longest: behind a partition no
- * reset ever arrives, and the connection would hang for minutes.
+ * Closes the connection if sent data stays unacknowledged for @p timeout. Without this limit, a
+ * connection across a network partition stays open for minutes.
  */
-void setUserTimeout(int socket, std::chrono::milliseconds longest);
-/** The next close sends a reset, so that the peer cannot take it for an orderly end. */
+void setUserTimeout(int socket, std::chrono::milliseconds timeout);
+/** Makes close() send a TCP reset instead of a FIN, which the peer could read as a regular end. */
 void resetOnClose(int socket);
 
 } // namespace indigoway
--- a/tests/relay/contentidtest.cpp
+++ b/tests/relay/contentidtest.cpp
@@ -21,41 +21,41 @@
 class ContentIdTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ContentIdTest);
-    CPPUNIT_TEST(attemptsAtTheSameAreTheSame);
-    CPPUNIT_TEST(whatAsksForSomethingElseDiffers);
-    CPPUNIT_TEST(partsDoNotRunIntoEachOther);
+    CPPUNIT_TEST(retriesHaveTheSameId);
+    CPPUNIT_TEST(differentRequestsHaveDifferentIds);
+    CPPUNIT_TEST(adjacentFieldsAreDistinguished);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void attemptsAtTheSameAreTheSame()
+    void retriesHaveTheSameId()
     {
         const CallerRequest first = requestOf("text");
         CallerRequest second = first;
         second.head.headers = {{"Host", "a.example"}, {"X-Attempt", "2"}};
-        CPPUNIT_ASSERT(contentOf(first) == contentOf(second));
+        CPPUNIT_ASSERT(contentIdOf(first) == contentIdOf(second));
         constexpr std::size_t HexDigits = 32;
-        CPPUNIT_ASSERT_EQUAL(HexDigits, contentOf(first).text().size());
+        CPPUNIT_ASSERT_EQUAL(HexDigits, contentIdOf(first).text().size());
     }
 
-    void whatAsksForSomethingElseDiffers()
+    void differentRequestsHaveDifferentIds()
     {
         const CallerRequest first = requestOf("text");
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(requestOf("tex")));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(requestOf("tex")));
         CallerRequest other = first;
         other.head.method = "PUT";
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(other));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(other));
         other = first;
         other.head.target = "/summary/7?long";
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(other));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(other));
         other = first;
         other.head.headers.front().second = "b.example";
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(other));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(other));
         other = first;
         other.head.headers.emplace_back("Authorization", "Bearer b");
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(other));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(other));
     }
 
-    void partsDoNotRunIntoEachOther()
+    void adjacentFieldsAreDistinguished()
     {
         CallerRequest first = requestOf("");
         CallerRequest second = first;
@@ -63,7 +63,7 @@
         first.head.headers.front().second = "a";
         second.head.method = "GETa";
         second.head.headers.front().second = "";
-        CPPUNIT_ASSERT(contentOf(first) != contentOf(second));
+        CPPUNIT_ASSERT(contentIdOf(first) != contentIdOf(second));
     }
 };
 
--- a/tests/relay/relaytest.cpp
+++ b/tests/relay/relaytest.cpp
@@ -29,7 +29,7 @@
     return to;
 }
 
-/** One end of a connection, for what a well-behaved peer never does. */
+/** Socket for sending malformed data and resets. */
 class RawSocket
 {
 public:
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT_EQUAL(static_cast<ssize_t>(text.size()),
                              ::send(m_socket, text.data(), text.size(), MSG_NOSIGNAL));
     }
-    /** All that has arrived; sets hasEnded() at the peer's orderly end. */
+    /** Returns all received data. hasEnded() is true after the peer's regular close. */
     std::string receive()
     {
         std::string text;
@@ -86,7 +86,7 @@
     bool m_hasEnded = false;
 };
 
-/** A backend server that the test plays by hand. */
+/** Listening socket for answers written by the test. */
 class RawServer
 {
 public:
@@ -105,26 +105,26 @@
     RawServer &operator=(const RawServer &) = delete;
 
     const std::string &address() const { return m_address; }
-    int takeConnection() const { return accept(m_socket, nullptr, nullptr); }
+    int acceptConnection() const { return accept(m_socket, nullptr, nullptr); }
 
 private:
     int m_socket;
     std::string m_address;
 };
 
-/** Remembers what it is told of calls. */
-class Calls : public ServerCallObserver
+/** Records the events of calls. */
+class CallRecorder : public ServerCallObserver
 {
 public:
     bool isAnswerTo(CallNumber /*call*/, const MessageHead &head) override
     {
         return head.header("X-Id").empty() || head.header("X-Id") == "mine";
     }
-    void answerBegan(CallNumber call, const MessageHead &head) override
+    void answerStarted(CallNumber call, const MessageHead &head) override
     {
         status[call] = head.status;
     }
-    void answerData(CallNumber call, std::string_view data) override { body[call] += data; }
+    void answerDataReceived(CallNumber call, std::string_view data) override { body[call] += data; }
     void callEnded(CallNumber call, TransferEnd end, const std::string & /*why*/) override
     {
         ends[call] = end;
@@ -140,39 +140,39 @@
 class RelayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayTest);
-    CPPUNIT_TEST(answersOnAKeptConnection);
-    CPPUNIT_TEST(handsOnOneRequestAtATime);
-    CPPUNIT_TEST(tellsThatACallerLeft);
-    CPPUNIT_TEST(refusesWhatIsTooLarge);
-    CPPUNIT_TEST(refusesTwoLengths);
-    CPPUNIT_TEST(invitesABodyThatWaits);
-    CPPUNIT_TEST(aBrokenStreamHasNoLastChunk);
-    CPPUNIT_TEST(asksToCloseWhileLeaving);
-    CPPUNIT_TEST(keepsAConnectionToAServer);
-    CPPUNIT_TEST(aResetAnswerWithoutLengthIsBroken);
-    CPPUNIT_TEST(anEndedAnswerWithoutLengthIsWhole);
-    CPPUNIT_TEST(aShortAnswerIsBroken);
-    CPPUNIT_TEST(anotherRequestsAnswerIsDropped);
-    CPPUNIT_TEST(bytesAfterAnAnswerEndTheConnection);
-    CPPUNIT_TEST(nothingSentIsToldApart);
-    CPPUNIT_TEST(aConnectionAloneSendsNothing);
-    CPPUNIT_TEST(aSilentServerIsGivenUp);
-    CPPUNIT_TEST(anAbandonedCallClosesItsConnection);
+    CPPUNIT_TEST(answersOnAKeepAliveConnection);
+    CPPUNIT_TEST(handlesPipelinedRequestsOneAtATime);
+    CPPUNIT_TEST(reportsADisconnectedCaller);
+    CPPUNIT_TEST(rejectsOversizedRequests);
+    CPPUNIT_TEST(rejectsMalformedRequests);
+    CPPUNIT_TEST(answersExpectContinue);
+    CPPUNIT_TEST(anAbortedStreamHasNoLastChunk);
+    CPPUNIT_TEST(closesConnectionsWhileLeaving);
+    CPPUNIT_TEST(reusesAnIdleConnection);
+    CPPUNIT_TEST(aResetEndsAnAnswerWithoutLengthAsLost);
+    CPPUNIT_TEST(aRegularCloseCompletesAnAnswerWithoutLength);
+    CPPUNIT_TEST(anIncompleteAnswerIsReportedAsLost);
+    CPPUNIT_TEST(discardsAnAnswerToAnEarlierRequest);
+    CPPUNIT_TEST(extraDataAfterAnAnswerClosesTheConnection);
+    CPPUNIT_TEST(aRefusedConnectionIsReportedAsNotConnected);
+    CPPUNIT_TEST(aProbeSendsNoData);
+    CPPUNIT_TEST(theIdleTimeoutEndsACall);
+    CPPUNIT_TEST(abandoningACallClosesItsConnection);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         m_base.reset(event_base_new());
-        m_taken.clear();
-        m_gone.clear();
+        m_requests.clear();
+        m_disconnected.clear();
         m_calls.emplace();
         m_listener.emplace(
             m_base.get(),
             [this](RequestNumber number, CallerRequest request) {
-                m_taken.emplace_back(number, std::move(request));
+                m_requests.emplace_back(number, std::move(request));
             },
-            [this](RequestNumber number) { m_gone.push_back(number); });
+            [this](RequestNumber number) { m_disconnected.push_back(number); });
         m_address = *m_listener->listenOn("127.0.0.1:0");
         m_servers.emplace(m_base.get(), *m_calls);
     }
@@ -185,13 +185,13 @@
         m_base.reset();
     }
 
-    void answersOnAKeptConnection()
+    void answersOnAKeepAliveConnection()
     {
         RawSocket caller(m_address);
         for (int i = 0; i < 3; ++i) {
             caller.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-            runUntil([&] { return m_taken.size() == std::size_t(i) + 1; });
-            m_listener->respond(m_taken.back().first, 200, {{"X-One", "1"}}, "hello");
+            runUntil([&] { return m_requests.size() == std::size_t(i) + 1; });
+            m_listener->respond(m_requests.back().first, 200, {{"X-One", "1"}}, "hello");
             std::string answer;
             runUntil([&] { return (answer += caller.receive()).ends_with("hello"); });
             CPPUNIT_ASSERT(answer.find("Content-Length: 5") != std::string::npos);
@@ -199,62 +199,64 @@
         }
     }
 
-    void handsOnOneRequestAtATime()
+    void handlesPipelinedRequestsOneAtATime()
     {
         RawSocket caller(m_address);
         const std::string request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
         caller.send(request + request);
-        runUntil([&] { return !m_taken.empty(); });
+        runUntil([&] { return !m_requests.empty(); });
         run();
-        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, m_taken.size());
-        m_listener->respond(m_taken.back().first, 200, {}, "");
-        runUntil([&] { return m_taken.size() == 2; });
+        CPPUNIT_ASSERT_EQUAL(std::size_t {1}, m_requests.size());
+        m_listener->respond(m_requests.back().first, 200, {}, "");
+        runUntil([&] { return m_requests.size() == 2; });
     }
 
-    // A caller gives up while its request waits. Without being told, the node would keep an
-    // engine's memory for an answer that nobody reads.
-    void tellsThatACallerLeft()
+    // If a disconnect during a request isn't reported, an engine's memory stays reserved for an
+    // answer that nobody receives.
+    void reportsADisconnectedCaller()
     {
         RawSocket caller(m_address);
         caller.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-        runUntil([&] { return !m_taken.empty(); });
+        runUntil([&] { return !m_requests.empty(); });
         caller.close();
-        runUntil([&] { return !m_gone.empty(); });
-        CPPUNIT_ASSERT(m_gone.front() == m_taken.front().first);
-        m_listener->respond(m_gone.front(), 200, {}, "late");
+        runUntil([&] { return !m_disconnected.empty(); });
+        CPPUNIT_ASSERT(m_disconnected.front() == m_requests.front().first);
+        m_listener->respond(m_disconnected.front(), 200, {}, "late");
     }
 
-    void refusesWhatIsTooLarge()
+    void rejectsOversizedRequests()
     {
         CallerLimits limits;
         limits.headerBytes = 500;
         limits.bodyBytes = 100;
         m_listener->setLimits(limits);
+        CPPUNIT_ASSERT_EQUAL(std::string("431"),
+                             rejectionStatusOf("GET / HTTP/1.1\r\nHost: x\r\nX: "
+                                               + std::string(600, 'a') + "\r\n\r\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string("431"),
+                             rejectionStatusOf("GET /" + std::string(2'000, 'a')));
         CPPUNIT_ASSERT_EQUAL(
-            std::string("431"),
-            refusalOf("GET / HTTP/1.1\r\nHost: x\r\nX: " + std::string(600, 'a') + "\r\n\r\n"));
-        CPPUNIT_ASSERT_EQUAL(std::string("431"), refusalOf("GET /" + std::string(2'000, 'a')));
+            std::string("413"),
+            rejectionStatusOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n"));
         CPPUNIT_ASSERT_EQUAL(
             std::string("413"),
-            refusalOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n"));
-        CPPUNIT_ASSERT_EQUAL(std::string("413"),
-                             refusalOf("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked"
-                                       "\r\n\r\n70\r\n"
-                                       + std::string(0x70, 'b')));
+            rejectionStatusOf("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked"
+                              "\r\n\r\n70\r\n"
+                              + std::string(0x70, 'b')));
     }
 
-    void refusesTwoLengths()
+    void rejectsMalformedRequests()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("400"),
-                             refusalOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
-                                       "Content-Length: 2\r\n\r\nab"));
-        CPPUNIT_ASSERT_EQUAL(std::string("400"), refusalOf("nonsense\r\n\r\n"));
+                             rejectionStatusOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
+                                               "Content-Length: 2\r\n\r\nab"));
+        CPPUNIT_ASSERT_EQUAL(std::string("400"), rejectionStatusOf("nonsense\r\n\r\n"));
         CPPUNIT_ASSERT_EQUAL(std::string("400"),
-                             refusalOf("CONNECT x:1 HTTP/1.1\r\nHost: x\r\n\r\n"));
-        CPPUNIT_ASSERT(m_taken.empty());
+                             rejectionStatusOf("CONNECT x:1 HTTP/1.1\r\nHost: x\r\n\r\n"));
+        CPPUNIT_ASSERT(m_requests.empty());
     }
 
-    void invitesABodyThatWaits()
+    void answersExpectContinue()
     {
         RawSocket caller(m_address);
         caller.send(
@@ -263,19 +265,19 @@
         runUntil(
             [&] { return (answer += caller.receive()).find("100 Continue") != std::string::npos; });
         caller.send("ab");
-        runUntil([&] { return !m_taken.empty(); });
-        CPPUNIT_ASSERT_EQUAL(std::string("ab"), m_taken.front().second.body);
+        runUntil([&] { return !m_requests.empty(); });
+        CPPUNIT_ASSERT_EQUAL(std::string("ab"), m_requests.front().second.body);
     }
 
-    // A stream that cannot go on must not look whole to its caller.
-    void aBrokenStreamHasNoLastChunk()
+    // The caller must be able to detect that an aborted stream is incomplete.
+    void anAbortedStreamHasNoLastChunk()
     {
         RawSocket caller(m_address);
         caller.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-        runUntil([&] { return !m_taken.empty(); });
-        m_listener->beginStream(m_taken.front().first, 200, {});
-        m_listener->sendPiece(m_taken.front().first, "data: a\n\n");
-        m_listener->breakAnswer(m_taken.front().first);
+        runUntil([&] { return !m_requests.empty(); });
+        m_listener->startStream(m_requests.front().first, 200, {});
+        m_listener->sendChunk(m_requests.front().first, "data: a\n\n");
+        m_listener->abortAnswer(m_requests.front().first);
         std::string answer;
         runUntil([&] {
             answer += caller.receive();
@@ -284,13 +286,13 @@
         CPPUNIT_ASSERT(answer.ends_with("9\r\ndata: a\n\n\r\n"));
     }
 
-    void asksToCloseWhileLeaving()
+    void closesConnectionsWhileLeaving()
     {
         RawSocket caller(m_address);
         caller.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-        runUntil([&] { return !m_taken.empty(); });
+        runUntil([&] { return !m_requests.empty(); });
         m_listener->beginLeaving();
-        m_listener->respond(m_taken.front().first, 200, {}, "whole");
+        m_listener->respond(m_requests.front().first, 200, {}, "whole");
         std::string answer;
         runUntil([&] {
             answer += caller.receive();
@@ -300,10 +302,10 @@
         CPPUNIT_ASSERT(answer.ends_with("whole"));
     }
 
-    void keepsAConnectionToAServer()
+    void reusesAnIdleConnection()
     {
         startCall(1);
-        RawSocket first(m_server.takeConnection());
+        RawSocket first(m_server.acceptConnection());
         runUntil([&] { return !first.receive().empty(); });
         first.send("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok");
         runUntil([&] { return m_calls->ends.contains(CallNumber(1)); });
@@ -316,23 +318,23 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {2}, m_servers->connectionsMade());
     }
 
-    // The server is killed in the middle of an answer that has no length. Only the reset shows
-    // that the answer is not whole.
-    void aResetAnswerWithoutLengthIsBroken()
+    // A server process is killed during an answer without a length; only the reset shows that the
+    // answer is incomplete.
+    void aResetEndsAnAnswerWithoutLengthAsLost()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         server.send("HTTP/1.1 200 OK\r\n\r\nhalf");
         runUntil([&] { return m_calls->body[CallNumber(1)] == "half"; });
         server.reset();
-        CPPUNIT_ASSERT(endOf(1) == TransferEnd::Lost);
+        CPPUNIT_ASSERT(endOf(1) == TransferEnd::ConnectionLost);
     }
 
-    void anEndedAnswerWithoutLengthIsWhole()
+    void aRegularCloseCompletesAnAnswerWithoutLength()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         server.send("HTTP/1.1 200 OK\r\n\r\nwhole");
         server.close();
@@ -340,22 +342,21 @@
         CPPUNIT_ASSERT_EQUAL(std::string("whole"), m_calls->body[CallNumber(1)]);
     }
 
-    void aShortAnswerIsBroken()
+    void anIncompleteAnswerIsReportedAsLost()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         server.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         server.close();
-        CPPUNIT_ASSERT(endOf(1) == TransferEnd::Lost);
+        CPPUNIT_ASSERT(endOf(1) == TransferEnd::ConnectionLost);
     }
 
-    // A server's answer to an earlier request comes late, where the next answer is expected.
-    // Passed on, it would be somebody else's answer.
-    void anotherRequestsAnswerIsDropped()
+    // A late answer to an earlier request must not be forwarded to the caller of the next one.
+    void discardsAnAnswerToAnEarlierRequest()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         server.send("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 5\r\n\r\nother"
                     "HTTP/1.1 201 OK\r\nX-Id: mine\r\nContent-Length: 4\r\n\r\nmine");
@@ -364,10 +365,10 @@
         CPPUNIT_ASSERT_EQUAL(201, m_calls->status[CallNumber(1)]);
     }
 
-    void bytesAfterAnAnswerEndTheConnection()
+    void extraDataAfterAnAnswerClosesTheConnection()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         server.send("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok"
                     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra");
@@ -377,20 +378,19 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t {2}, m_servers->connectionsMade());
     }
 
-    void nothingSentIsToldApart()
+    void aRefusedConnectionIsReportedAsNotConnected()
     {
-        std::string deadAddress;
+        std::string closedAddress;
         {
-            const RawServer dead;
-            deadAddress = dead.address();
+            const RawServer closedServer;
+            closedAddress = closedServer.address();
         }
-        startCall(1, deadAddress);
+        startCall(1, closedAddress);
         CPPUNIT_ASSERT(endOf(1) == TransferEnd::NotConnected);
     }
 
-    // Whether a server still lives is asked by a connection and nothing more: bytes could be taken
-    // for a request.
-    void aConnectionAloneSendsNothing()
+    // A probe must not send data, which the server could interpret as a request.
+    void aProbeSendsNoData()
     {
         ServerRequest probe;
         probe.call = CallNumber(1);
@@ -399,23 +399,23 @@
         probe.isConnectOnly = true;
         m_servers->start(probe);
         CPPUNIT_ASSERT(endOf(1) == TransferEnd::Complete);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return server.hasEnded() || !server.receive().empty(); });
         CPPUNIT_ASSERT(server.hasEnded());
         CPPUNIT_ASSERT_EQUAL(std::size_t {0}, m_servers->kept());
     }
 
-    void aSilentServerIsGivenUp()
+    void theIdleTimeoutEndsACall()
     {
         startCall(1, m_server.address(), std::chrono::milliseconds(30));
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         CPPUNIT_ASSERT(endOf(1) == TransferEnd::Broken);
     }
 
-    void anAbandonedCallClosesItsConnection()
+    void abandoningACallClosesItsConnection()
     {
         startCall(1);
-        RawSocket server(m_server.takeConnection());
+        RawSocket server(m_server.acceptConnection());
         runUntil([&] { return !server.receive().empty(); });
         m_servers->abandon(CallNumber(1));
         run();
@@ -430,15 +430,15 @@
 
     void runUntil(const std::function<bool()> &isDone)
     {
-        constexpr int MostRounds = 20'000;
-        for (int i = 0; i < MostRounds; ++i) {
+        constexpr int MaxIterations = 20'000;
+        for (int i = 0; i < MaxIterations; ++i) {
             run();
             if (isDone()) {
                 return;
             }
             usleep(200);
         }
-        CPPUNIT_FAIL("what was waited for did not come");
+        CPPUNIT_FAIL("condition not met in time");
     }
 
     void startCall(std::uint64_t number, const std::string &address = {}, Duration idleTimeout = {})
@@ -460,8 +460,8 @@
         return m_calls->ends.at(CallNumber(number));
     }
 
-    /** Status of the answer to @p request, after which the connection must be closed. */
-    std::string refusalOf(const std::string &request)
+    /** Returns the status of the answer to @p request; requires that the connection is closed. */
+    std::string rejectionStatusOf(const std::string &request)
     {
         RawSocket caller(m_address);
         caller.send(request);
@@ -470,18 +470,18 @@
             answer += caller.receive();
             return caller.hasEnded();
         });
-        constexpr std::size_t StatusAt = 9;
-        return answer.substr(StatusAt, 3);
+        constexpr std::size_t StatusPosition = 9;
+        return answer.substr(StatusPosition, 3);
     }
 
     EventBase m_base;
     RawServer m_server;
-    std::optional<Calls> m_calls;
+    std::optional<CallRecorder> m_calls;
     std::optional<CallerListener> m_listener;
     std::optional<ServerConnections> m_servers;
     std::string m_address;
-    std::vector<std::pair<RequestNumber, CallerRequest>> m_taken;
-    std::vector<RequestNumber> m_gone;
+    std::vector<std::pair<RequestNumber, CallerRequest>> m_requests;
+    std::vector<RequestNumber> m_disconnected;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RelayTest);
--- a/tests/relay/serverconnectionstest.cpp
+++ b/tests/relay/serverconnectionstest.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/** Remembers how its one call ended. */
+/** Records how the last call ended and stops the event loop. */
 class Observer : public ServerCallObserver
 {
 public:
@@ -29,8 +29,8 @@
         : m_base(base)
     { }
     bool isAnswerTo(CallNumber, const MessageHead &) override { return true; }
-    void answerBegan(CallNumber, const MessageHead &) override { }
-    void answerData(CallNumber, std::string_view) override { }
+    void answerStarted(CallNumber, const MessageHead &) override { }
+    void answerDataReceived(CallNumber, std::string_view) override { }
     void callEnded(CallNumber, TransferEnd end, const std::string &) override
     {
         m_end = end;
@@ -43,11 +43,11 @@
     std::optional<TransferEnd> m_end;
 };
 
-/** A server whose system takes connections, and that reads them when it is asked to. */
-class LazyServer
+/** Server that leaves connections in the listen queue until received() is called. */
+class UnacceptingServer
 {
 public:
-    LazyServer()
+    UnacceptingServer()
         : m_socket(socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address {};
@@ -56,9 +56,9 @@
         bind(m_socket, reinterpret_cast<sockaddr *>(&address), sizeof address);
         listen(m_socket, 8);
     }
-    LazyServer(const LazyServer &) = delete;
-    LazyServer &operator=(const LazyServer &) = delete;
-    ~LazyServer() { close(m_socket); }
+    UnacceptingServer(const UnacceptingServer &) = delete;
+    UnacceptingServer &operator=(const UnacceptingServer &) = delete;
+    ~UnacceptingServer() { close(m_socket); }
 
     std::string address() const
     {
@@ -68,7 +68,7 @@
         return "127.0.0.1:" + std::to_string(ntohs(bound.sin_port));
     }
 
-    /** Bytes that have arrived on the first connection so far. */
+    /** Accepts the first connection and returns the number of bytes received on it. */
     std::size_t received() const
     {
         const int connection = accept(m_socket, nullptr, nullptr);
@@ -87,20 +87,19 @@
 class ServerConnectionsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServerConnectionsTest);
-    CPPUNIT_TEST(whatIsToldAsNotConnectedWasNotSent);
-    CPPUNIT_TEST(keepsNoMoreIdleConnectionsThanAllowed);
+    CPPUNIT_TEST(sendsNothingIfReportedAsNotConnected);
+    CPPUNIT_TEST(limitsIdleConnections);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // The caller's request runs twice. The node has other things to do for longer than it waits
-    // for a connection; meanwhile the connection is made. Its loop then finds both at once, the
-    // connection and the time that is up: the request went out, and was told as never sent, so
-    // that it was sent to another server as well.
-    void whatIsToldAsNotConnectedWasNotSent()
+    // If the event loop is blocked for longer than the connect timeout, the established connection
+    // and the timeout are processed in the same iteration. A request that was sent must not be
+    // reported as NotConnected, because it would be retried and executed twice.
+    void sendsNothingIfReportedAsNotConnected()
     {
         const EventBase base(event_base_new());
         Observer observer(base.get());
-        LazyServer server;
+        UnacceptingServer server;
         auto connections = std::make_unique<ServerConnections>(base.get(), observer);
         ServerRequest request;
         request.call = CallNumber(1);
@@ -118,14 +117,13 @@
         if (*observer.end() == TransferEnd::NotConnected) {
             CPPUNIT_ASSERT_EQUAL(std::size_t {0}, server.received());
         }
-        // The library frees a connection in the loop's next round.
+        // libevent frees bufferevents with deferred callbacks in the next iteration.
         connections.reset();
         event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
 
-    // A server resets connections beyond its limit, also one on which a caller's request has just
-    // been written.
-    void keepsNoMoreIdleConnectionsThanAllowed()
+    // A server resets connections beyond its limit, possibly right after a request was sent on one.
+    void limitsIdleConnections()
     {
         const EventBase base(event_base_new());
         HttpServer server(
@@ -149,7 +147,7 @@
             request.maxIdleConnections = 2;
             connections->start(request);
         }
-        while (connections->open() > 0) {
+        while (connections->openCalls() > 0) {
             event_base_dispatch(base.get());
         }
         CPPUNIT_ASSERT(*observer.end() == TransferEnd::Complete);
