--- a/src/relay/eventcutter.cpp
+++ b/src/relay/eventstreamparser.cpp
@@ -1,4 +1,4 @@
-#include "eventcutter.h"
+#include "eventstreamparser.h"
 
 namespace indigoway {
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string EventCutter::feed(std::string_view bytes)
+std::string EventStreamParser::feed(std::string_view bytes)
 {
     m_partial.append(bytes);
     std::size_t whole = 0;
@@ -36,7 +36,7 @@
     return complete;
 }
 
-void EventCutter::parseEvent(std::string_view event)
+void EventStreamParser::parseEvent(std::string_view event)
 {
     ++m_eventCount;
     constexpr std::string_view IdField = "id:";
--- a/src/relay/eventcutter.h
+++ b/src/relay/eventstreamparser.h
@@ -11,7 +11,7 @@
  * events are forwarded to the caller, so that another server can resume the stream after the last
  * event if the first server fails within an event.
  */
-class EventCutter
+class EventStreamParser
 {
 public:
     /** Appends @p bytes to the buffer; removes and returns all complete events. */
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -119,7 +119,7 @@
     if (exchange == m_exchanges.end()) {
         return;
     }
-    const std::string completeEvents = exchange->second.events.feed(data);
+    const std::string completeEvents = exchange->second.eventParser.feed(data);
     if (completeEvents.empty()) {
         return;
     }
@@ -162,8 +162,9 @@
     if (open.isStream) {
         const auto exchange = m_exchanges.find(open.call.request);
         const bool isAtBoundary =
-            exchange == m_exchanges.end() || exchange->second.events.isAtEventBoundary();
-        ended.events = exchange == m_exchanges.end() ? 0 : exchange->second.events.eventCount();
+            exchange == m_exchanges.end() || exchange->second.eventParser.isAtEventBoundary();
+        ended.events =
+            exchange == m_exchanges.end() ? 0 : exchange->second.eventParser.eventCount();
         const bool isComplete = isAtBoundary && open.hasStarted;
         ended.end =
             end == TransferEnd::Complete && isComplete ? CallEnd::Complete : CallEnd::Broken;
@@ -213,9 +214,9 @@
         }
         origin = &exchange->second.request;
         open.callerId = exchange->second.callerId;
-        exchange->second.events.discardPartialEvent();
+        exchange->second.eventParser.discardPartialEvent();
         if (effect.isResumption) {
-            lastEventId = exchange->second.events.lastEventId();
+            lastEventId = exchange->second.eventParser.lastEventId();
         }
     }
     ServerRequest request;
--- a/src/relay/requestrelay.h
+++ b/src/relay/requestrelay.h
@@ -3,7 +3,7 @@
 #include "dispatch/dispatcher.h"
 #include "relay/callerlistener.h"
 #include "relay/dialect.h"
-#include "relay/eventcutter.h"
+#include "relay/eventstreamparser.h"
 #include "relay/serverconnections.h"
 
 #include <functional>
@@ -58,7 +58,7 @@
     {
         CallerRequest request;
         std::string callerId;
-        EventCutter events;
+        EventStreamParser eventParser;
         bool isStreaming = false;
     };
     /** A call to a backend server and the state of its answer. */
--- a/tests/relay/messageparsertest.cpp
+++ b/tests/relay/messageparsertest.cpp
@@ -1,7 +1,7 @@
 #include "relay/messageparser.h"
 
 #include "relay/dialect.h"
-#include "relay/eventcutter.h"
+#include "relay/eventstreamparser.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -140,17 +140,17 @@
     // another server can resume the stream.
     void returnsCompleteEventsOnly()
     {
-        EventCutter cutter;
+        EventStreamParser parser;
         CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"),
-                             cutter.feed("id: 1\ndata: a\n\nid: 2\nda"));
-        CPPUNIT_ASSERT(!cutter.isAtEventBoundary());
-        CPPUNIT_ASSERT_EQUAL(std::string("1"), cutter.lastEventId());
-        cutter.discardPartialEvent();
+                             parser.feed("id: 1\ndata: a\n\nid: 2\nda"));
+        CPPUNIT_ASSERT(!parser.isAtEventBoundary());
+        CPPUNIT_ASSERT_EQUAL(std::string("1"), parser.lastEventId());
+        parser.discardPartialEvent();
         CPPUNIT_ASSERT_EQUAL(std::string("id:2\r\ndata: b\r\n\r\n"),
-                             cutter.feed("id:2\r\ndata: b\r\n\r\n"));
-        CPPUNIT_ASSERT_EQUAL(std::string("2"), cutter.lastEventId());
-        CPPUNIT_ASSERT_EQUAL(2U, cutter.eventCount());
-        CPPUNIT_ASSERT(cutter.isAtEventBoundary());
+                             parser.feed("id:2\r\ndata: b\r\n\r\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string("2"), parser.lastEventId());
+        CPPUNIT_ASSERT_EQUAL(2U, parser.eventCount());
+        CPPUNIT_ASSERT(parser.isAtEventBoundary());
     }
 
     void eventsAreIndependentOfFragmentation()
@@ -161,13 +161,13 @@
                 for (int i = 1; i <= events; ++i) {
                     text += "id: " + std::to_string(i) + "\ndata: x\n\n";
                 }
-                EventCutter cutter;
+                EventStreamParser parser;
                 std::string output;
                 for (std::size_t at = 0; at < text.size(); at += step + 1U) {
-                    output += cutter.feed(std::string_view(text).substr(at, step + 1U));
+                    output += parser.feed(std::string_view(text).substr(at, step + 1U));
                 }
                 RC_ASSERT(output == text);
-                RC_ASSERT(cutter.eventCount() == events);
+                RC_ASSERT(parser.eventCount() == events);
             });
         CPPUNIT_ASSERT(isOk);
     }
