--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -407,7 +407,7 @@
         {"requests_open", m_dispatcher.open()},
         {"requests_waiting", m_dispatcher.waiting()},
         {"caller_connections", m_relay.callers().connections()},
-        {"server_connections_kept", m_relay.serverConnections().kept()},
+        {"server_connections_kept", m_relay.serverConnections().idleConnections()},
         {"server_connections_made", m_relay.serverConnections().connectionsMade()},
         {"log_lines_dropped", m_log.dropped()},
         {"routing_version", m_dispatcher.routes() ? m_dispatcher.routes()->version() : 0},
--- a/src/relay/serverconnections.cpp
+++ b/src/relay/serverconnections.cpp
@@ -129,7 +129,7 @@
     scheduleClose(connection);
 }
 
-std::size_t ServerConnections::kept() const
+std::size_t ServerConnections::idleConnections() const
 {
     std::size_t count = 0;
     for (const auto &[server, connections] : m_idle) {
--- a/src/relay/serverconnections.h
+++ b/src/relay/serverconnections.h
@@ -79,7 +79,7 @@
     void abandon(CallNumber call);
     std::size_t openCalls() const { return m_calls.size(); }
     /** Returns the number of idle connections. */
-    std::size_t kept() const;
+    std::size_t idleConnections() const;
     std::uint64_t connectionsMade() const { return m_connectionsMade; }
 
 private:
--- a/tests/relay/relaytest.cpp
+++ b/tests/relay/relaytest.cpp
@@ -402,7 +402,7 @@
         RawSocket server(m_server.acceptConnection());
         runUntil([&] { return server.hasEnded() || !server.receive().empty(); });
         CPPUNIT_ASSERT(server.hasEnded());
-        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, m_servers->kept());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {0}, m_servers->idleConnections());
     }
 
     void theIdleTimeoutEndsACall()
--- a/tests/relay/serverconnectionstest.cpp
+++ b/tests/relay/serverconnectionstest.cpp
@@ -151,7 +151,7 @@
             event_base_dispatch(base.get());
         }
         CPPUNIT_ASSERT(*observer.end() == TransferEnd::Complete);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {2}, connections->kept());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {2}, connections->idleConnections());
         connections.reset();
         event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
