--- a/src/edge/edgenode.cpp
+++ b/src/edge/edgenode.cpp
@@ -87,8 +87,9 @@
     , m_suspendedTime(suspendedTime())
 {
     m_relay.setCopyAge([this] { return m_sync.copyAge(BootClock::now()); });
-    m_relay.setEndedHandler([this](const dispatch::RequestEnded &ended) { m_metrics.add(ended); });
-    m_relay.setRecordHandler([this](const dispatch::LogDecision &decision) {
+    m_relay.setRequestEndedHandler(
+        [this](const dispatch::RequestEnded &ended) { m_metrics.add(ended); });
+    m_relay.setDecisionHandler([this](const dispatch::LogDecision &decision) {
         m_metrics.add(decision);
         record(decision.kind, {{"request", decision.callerId}, {"detail", decision.detail}});
     });
@@ -447,7 +448,7 @@
     if (m_sync.isKnown()) {
         m_dispatcher.setNodes(m_roster.count(now), now);
     }
-    m_relay.wake();
+    m_relay.checkDeadlines();
     recordStoreCallCounts(now);
     stopWhenDrained(now);
 }
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -313,15 +313,15 @@
 
 void RequestRelay::run(const LogDecision &effect)
 {
-    if (m_recordHandler) {
-        m_recordHandler(effect);
+    if (m_decisionHandler) {
+        m_decisionHandler(effect);
     }
 }
 
 void RequestRelay::run(const RequestEnded &effect)
 {
-    if (m_endedHandler) {
-        m_endedHandler(effect);
+    if (m_requestEndedHandler) {
+        m_requestEndedHandler(effect);
     }
 }
 
--- a/src/relay/requestrelay.h
+++ b/src/relay/requestrelay.h
@@ -20,28 +20,31 @@
 class RequestRelay : public ServerCallObserver
 {
 public:
-    using RecordHandler = std::function<void(const dispatch::LogDecision &)>;
+    using DecisionHandler = std::function<void(const dispatch::LogDecision &)>;
     using SchedulerHandler = std::function<void(const scheduling::ToScheduler &)>;
     using QuotaHandler = std::function<void(const quotas::ToKeeper &)>;
     using CrashHandler = std::function<void(const dispatch::PublishCrash &)>;
-    using EndedHandler = std::function<void(const dispatch::RequestEnded &)>;
+    using RequestEndedHandler = std::function<void(const dispatch::RequestEnded &)>;
 
     RequestRelay(event_base *base, dispatch::Dispatcher &dispatcher, const Dialect &dialect,
                  std::uint64_t seed);
 
-    void setRecordHandler(RecordHandler handler) { m_recordHandler = std::move(handler); }
+    void setDecisionHandler(DecisionHandler handler) { m_decisionHandler = std::move(handler); }
     void setSchedulerHandler(SchedulerHandler handler) { m_schedulerHandler = std::move(handler); }
     void setQuotaHandler(QuotaHandler handler) { m_quotaHandler = std::move(handler); }
     void setCrashHandler(CrashHandler handler) { m_crashHandler = std::move(handler); }
     /** Returns the maximum age of this node's copy of the desired state; nothing if unknown. */
     using CopyAge = std::function<std::optional<Duration>()>;
     void setCopyAge(CopyAge copyAge) { m_copyAge = std::move(copyAge); }
-    void setEndedHandler(EndedHandler handler) { m_endedHandler = std::move(handler); }
+    void setRequestEndedHandler(RequestEndedHandler handler)
+    {
+        m_requestEndedHandler = std::move(handler);
+    }
     std::optional<std::string> listenOn(const std::string &address);
     void setLimits(const CallerLimits &limits) { m_callers.setLimits(limits); }
     void beginLeaving() { m_callers.beginLeaving(); }
     /** Makes the dispatcher check its deadlines after a change outside of the relay. */
-    void wake() { post(dispatch::TimePassed {}); }
+    void checkDeadlines() { post(dispatch::TimePassed {}); }
     /** Passes @p event to the dispatcher and executes the resulting effects. */
     void post(const dispatch::DispatchEvent &event);
     const CallerListener &callers() const { return m_callers; }
@@ -105,11 +108,11 @@
     std::map<CallNumber, OpenCall> m_calls;
     /** Calls whose CallEnded is being processed; DeliverAnswer uses their answers. */
     std::map<CallNumber, OpenCall> m_endedCalls;
-    RecordHandler m_recordHandler;
+    DecisionHandler m_decisionHandler;
     SchedulerHandler m_schedulerHandler;
     QuotaHandler m_quotaHandler;
     CrashHandler m_crashHandler;
-    EndedHandler m_endedHandler;
+    RequestEndedHandler m_requestEndedHandler;
     CopyAge m_copyAge;
 };
 
