--- a/src/relay/dialect.h
+++ b/src/relay/dialect.h
@@ -13,10 +13,10 @@
 namespace indigoway {
 
 /** Information from the headers of a server's answer. */
-struct AnswerFacts
+struct AnswerInfo
 {
-    bool isGenuine = false;     ///< The server has stamped the answer, so it executed the request.
-    bool isNotExecuted = false; ///< The server states that it did not execute the request.
+    bool hasServerStamp = false; ///< The server has stamped the answer, so it executed the request.
+    bool isNotExecuted = false;  ///< The server states that it did not execute the request.
     std::optional<dispatch::ServerLoad> load;
 };
 
@@ -52,7 +52,7 @@
                                     const std::string &lastEventId) const = 0;
     /** Returns whether @p head belongs to the request @p callerId rather than an earlier one. */
     virtual bool isAnswerTo(const std::string &callerId, const MessageHead &head) const = 0;
-    virtual AnswerFacts readAnswer(const MessageHead &head) const = 0;
+    virtual AnswerInfo readAnswer(const MessageHead &head) const = 0;
     virtual GrantFacts readGrant(dispatch::CallKind kind, std::string_view body) const = 0;
     /** Returns the headers to forward to the caller, without framing and hop-by-hop headers. */
     virtual HttpHeaders answerHeaders(const MessageHead &head) const = 0;
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -96,7 +96,7 @@
     OpenCall &open = it->second;
     open.head = head;
     open.facts = m_dialect.readAnswer(head);
-    open.isStream = isSuccess(head.status) && open.facts.isGenuine && isEventStream(head)
+    open.isStream = isSuccess(head.status) && open.facts.hasServerStamp && isEventStream(head)
         && open.call.kind != CallKind::Prefill;
 }
 
@@ -192,7 +192,7 @@
         ended.reason = "status " + std::to_string(open.head.status);
         return ended;
     }
-    if (!open.facts.isGenuine) {
+    if (!open.facts.hasServerStamp) {
         // Without a server stamp it is unknown whether the server executed the request.
         ended.end = CallEnd::Broken;
         ended.reason =
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -279,8 +279,8 @@
                         {"Indigoway-Server-Load", "3,1,8"}};
         CPPUNIT_ASSERT(m_dialect.isAnswerTo("id1", head));
         CPPUNIT_ASSERT(!m_dialect.isAnswerTo("id2", head));
-        const AnswerFacts facts = m_dialect.readAnswer(head);
-        CPPUNIT_ASSERT(facts.isGenuine);
+        const AnswerInfo facts = m_dialect.readAnswer(head);
+        CPPUNIT_ASSERT(facts.hasServerStamp);
         CPPUNIT_ASSERT(!facts.isNotExecuted);
         CPPUNIT_ASSERT_EQUAL(8U, facts.load->slots);
         head.headers = {{"Indigoway-Not-Executed", "1"}};
