--- a/src/relay/dialect.h
+++ b/src/relay/dialect.h
@@ -21,7 +21,7 @@
 };
 
 /** Results from the body of an engine's answer. */
-struct GrantFacts
+struct EngineAnswer
 {
     std::string reservation;
     std::string handle;
@@ -53,7 +53,7 @@
     /** Returns whether @p head belongs to the request @p callerId rather than an earlier one. */
     virtual bool isAnswerTo(const std::string &callerId, const MessageHead &head) const = 0;
     virtual AnswerInfo readAnswer(const MessageHead &head) const = 0;
-    virtual GrantFacts readGrant(dispatch::CallKind kind, std::string_view body) const = 0;
+    virtual EngineAnswer readEngineAnswer(dispatch::CallKind kind, std::string_view body) const = 0;
     /** Returns the headers to forward to the caller, without framing and hop-by-hop headers. */
     virtual HttpHeaders answerHeaders(const MessageHead &head) const = 0;
     virtual HttpHeaders rejectionHeaders(std::optional<Duration> retryAfter) const = 0;
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -184,7 +184,7 @@
     ended.end = CallEnd::Complete;
     if (!carriesRequest(open.call.kind) || open.call.kind == CallKind::Prefill) {
         if (isSuccess(open.head.status)) {
-            const GrantFacts grant = m_dialect.readGrant(open.call.kind, open.body);
+            const EngineAnswer grant = m_dialect.readEngineAnswer(open.call.kind, open.body);
             ended.reservation = grant.reservation;
             ended.handle = grant.handle;
             ended.report = grant.report;
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -294,12 +294,15 @@
 
     void readsGrants()
     {
-        CPPUNIT_ASSERT_EQUAL(std::string("r"),
-                             m_dialect.readGrant(CallKind::Reserve, R"({"hold":"r"})").reservation);
+        CPPUNIT_ASSERT_EQUAL(
+            std::string("r"),
+            m_dialect.readEngineAnswer(CallKind::Reserve, R"({"hold":"r"})").reservation);
         CPPUNIT_ASSERT_EQUAL(
             std::string("h"),
-            m_dialect.readGrant(CallKind::Prefill, R"({"kv_handle":"h","tokens":3})").handle);
-        CPPUNIT_ASSERT(m_dialect.readGrant(CallKind::Reserve, "{\"hold\":").reservation.empty());
+            m_dialect.readEngineAnswer(CallKind::Prefill, R"({"kv_handle":"h","tokens":3})")
+                .handle);
+        CPPUNIT_ASSERT(
+            m_dialect.readEngineAnswer(CallKind::Reserve, "{\"hold\":").reservation.empty());
     }
 
     void readsTheDesiredState()
@@ -360,7 +363,7 @@
         CPPUNIT_ASSERT_EQUAL(first.instance, second.instance);
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t {1'764'000'009'000},
-            m_dialect.readGrant(CallKind::Report, R"({"sequence":0,"born":1764000009000})")
+            m_dialect.readEngineAnswer(CallKind::Report, R"({"sequence":0,"born":1764000009000})")
                 .report->startedAt);
     }
 
@@ -432,7 +435,7 @@
                 RC_ASSERT(server->slots > 0U);
             }
             (void)m_codec.decodeRouting(text);
-            (void)m_dialect.readGrant(CallKind::Report, text);
+            (void)m_dialect.readEngineAnswer(CallKind::Report, text);
         });
         CPPUNIT_ASSERT(isProven);
     }
