--- a/src/relay/callerlistener.cpp
+++ b/src/relay/callerlistener.cpp
@@ -325,7 +325,7 @@
         return;
     }
     if (head.hasHeader("Expect")) {
-        if (!sameHeaderName(head.header("Expect"), "100-continue")) {
+        if (!isSameHeaderName(head.header("Expect"), "100-continue")) {
             connection.isRejected = true;
             connection.rejectionStatus = ExpectationFailed;
             return;
--- a/src/relay/dialect.cpp
+++ b/src/relay/dialect.cpp
@@ -29,7 +29,7 @@
 {
     std::vector<std::string> connectionOptions;
     for (const auto &[name, value] : head.headers) {
-        if (!sameHeaderName(name, "Connection")) {
+        if (!isSameHeaderName(name, "Connection")) {
             continue;
         }
         for (const absl::string_view part : absl::StrSplit(value, ',', absl::SkipWhitespace())) {
@@ -39,11 +39,11 @@
     HttpHeaders endToEnd;
     for (const auto &[name, value] : head.headers) {
         const auto matchesName = [&name = name](std::string_view other) {
-            return sameHeaderName(other, name);
+            return isSameHeaderName(other, name);
         };
         if (std::none_of(ConnectionHeaders.begin(), ConnectionHeaders.end(), matchesName)
             && std::none_of(connectionOptions.begin(), connectionOptions.end(), matchesName)
-            && !sameHeaderName(name, "Expect")) {
+            && !isSameHeaderName(name, "Expect")) {
             endToEnd.emplace_back(name, value);
         }
     }
--- a/src/relay/messageparser.cpp
+++ b/src/relay/messageparser.cpp
@@ -46,7 +46,7 @@
 std::string_view MessageHead::header(std::string_view name) const
 {
     for (const auto &[key, value] : headers) {
-        if (sameHeaderName(key, name)) {
+        if (isSameHeaderName(key, name)) {
             return value;
         }
     }
@@ -56,14 +56,14 @@
 bool MessageHead::hasHeader(std::string_view name) const
 {
     for (const auto &[key, value] : headers) {
-        if (sameHeaderName(key, name)) {
+        if (isSameHeaderName(key, name)) {
             return true;
         }
     }
     return false;
 }
 
-bool sameHeaderName(std::string_view a, std::string_view b)
+bool isSameHeaderName(std::string_view a, std::string_view b)
 {
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
--- a/src/relay/messageparser.h
+++ b/src/relay/messageparser.h
@@ -26,7 +26,7 @@
 };
 
 /** Compares header names without regard to case. */
-bool sameHeaderName(std::string_view a, std::string_view b);
+bool isSameHeaderName(std::string_view a, std::string_view b);
 
 /**
  * Parses HTTP/1.1 messages one at a time with http_parser. Ambiguous framing, such as two
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -46,7 +46,7 @@
     std::string found = "none";
     int count = 0;
     for (const auto &[key, value] : request.headers) {
-        if (sameHeaderName(key, name)) {
+        if (isSameHeaderName(key, name)) {
             found = value;
             ++count;
         }
