--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -95,8 +95,8 @@
     }
     OpenCall &open = it->second;
     open.head = head;
-    open.facts = m_dialect.readAnswer(head);
-    open.isStream = isSuccess(head.status) && open.facts.hasServerStamp && isEventStream(head)
+    open.info = m_dialect.readAnswer(head);
+    open.isStream = isSuccess(head.status) && open.info.hasServerStamp && isEventStream(head)
         && open.call.kind != CallKind::Prefill;
 }
 
@@ -130,7 +130,7 @@
     open.bufferedEvents += completeEvents;
     if (!open.hasStarted) {
         open.hasStarted = true;
-        post(StreamStarted {call, open.head.status, open.facts.load});
+        post(StreamStarted {call, open.head.status, open.info.load});
     }
 }
 
@@ -152,7 +152,7 @@
     CallEnded ended;
     ended.call = open.call.call;
     ended.status = open.head.status;
-    ended.load = open.facts.load;
+    ended.load = open.info.load;
     ended.reason = reason;
     ended.isConnectionLost = end == TransferEnd::ConnectionLost;
     if (open.call.kind == CallKind::Probe) {
@@ -176,7 +176,7 @@
         ended.end = end == TransferEnd::NotConnected ? CallEnd::NotConnected : CallEnd::Broken;
         return ended;
     }
-    if (open.facts.isNotExecuted) {
+    if (open.info.isNotExecuted) {
         ended.end = CallEnd::NotExecuted;
         ended.reason = "turned away with " + std::to_string(open.head.status);
         return ended;
@@ -184,15 +184,15 @@
     ended.end = CallEnd::Complete;
     if (!carriesRequest(open.call.kind) || open.call.kind == CallKind::Prefill) {
         if (isSuccess(open.head.status)) {
-            const EngineAnswer grant = m_dialect.readEngineAnswer(open.call.kind, open.body);
-            ended.reservation = grant.reservation;
-            ended.handle = grant.handle;
-            ended.report = grant.report;
+            const EngineAnswer engineAnswer = m_dialect.readEngineAnswer(open.call.kind, open.body);
+            ended.reservation = engineAnswer.reservation;
+            ended.handle = engineAnswer.handle;
+            ended.report = engineAnswer.report;
         }
         ended.reason = "status " + std::to_string(open.head.status);
         return ended;
     }
-    if (!open.facts.hasServerStamp) {
+    if (!open.info.hasServerStamp) {
         // Without a server stamp it is unknown whether the server executed the request.
         ended.end = CallEnd::Broken;
         ended.reason =
--- a/src/relay/requestrelay.h
+++ b/src/relay/requestrelay.h
@@ -70,7 +70,7 @@
         dispatch::StartCall call;
         std::string callerId;
         MessageHead head;
-        AnswerInfo facts;
+        AnswerInfo info;
         std::string body;           ///< Body of an answer that is not a stream.
         std::string bufferedEvents; ///< Complete events received before ForwardStream.
         bool isStream = false;
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -279,10 +279,10 @@
                         {"Indigoway-Server-Load", "3,1,8"}};
         CPPUNIT_ASSERT(m_dialect.isAnswerTo("id1", head));
         CPPUNIT_ASSERT(!m_dialect.isAnswerTo("id2", head));
-        const AnswerInfo facts = m_dialect.readAnswer(head);
-        CPPUNIT_ASSERT(facts.hasServerStamp);
-        CPPUNIT_ASSERT(!facts.isNotExecuted);
-        CPPUNIT_ASSERT_EQUAL(8U, facts.load->slots);
+        const AnswerInfo info = m_dialect.readAnswer(head);
+        CPPUNIT_ASSERT(info.hasServerStamp);
+        CPPUNIT_ASSERT(!info.isNotExecuted);
+        CPPUNIT_ASSERT_EQUAL(8U, info.load->slots);
         head.headers = {{"Indigoway-Not-Executed", "1"}};
         head.status = 503;
         CPPUNIT_ASSERT(m_dialect.readAnswer(head).isNotExecuted);
