--- a/src/dispatch/engineplacement.cpp
+++ b/src/dispatch/engineplacement.cpp
@@ -58,12 +58,12 @@
 void EnginePlacement::handoverLost(const ServerName &prefill, const ServerName &decode,
                                    TimePoint now)
 {
-    m_handovers.lost(prefill, decode, now);
+    m_transferFaults.recordFailure(prefill, decode, now);
 }
 
-bool EnginePlacement::isBadSource(const ServerName &prefill, TimePoint now) const
+bool EnginePlacement::isFaultySource(const ServerName &prefill, TimePoint now) const
 {
-    return m_handovers.isBadSource(prefill, now);
+    return m_transferFaults.isFaultySource(prefill, now);
 }
 
 const AnnouncedServer *
@@ -84,7 +84,8 @@
             if (const auto load = m_serverTracker.recentLoad(server.name, now)) {
                 cost += (load->running + load->waiting) * TokensPerRequest;
             }
-            return cost + (m_handovers.isBadTarget(server.name, now) ? BadTargetPenalty : 0);
+            return cost
+                + (m_transferFaults.isFaultyTarget(server.name, now) ? BadTargetPenalty : 0);
         });
 }
 
@@ -95,14 +96,16 @@
     return lowestCostEngine(
         candidates, need, [&](const AnnouncedServer &server) -> std::optional<double> {
             const auto it = m_engines.find(server.name);
-            if (isBadSource(server.name, now)) {
+            if (isFaultySource(server.name, now)) {
                 return std::nullopt;
             }
             double waiting = it == m_engines.end() ? 0 : static_cast<double>(it->second.tokens);
             if (const auto load = m_serverTracker.recentLoad(server.name, now)) {
                 waiting = std::max(waiting, (load->running + load->waiting) * TokensPerRequest);
             }
-            waiting += m_handovers.isInDoubt(server.name, now) ? SuspectSourcePenalty : 0;
+            waiting += m_transferFaults.hasUnattributedFailure(server.name, now)
+                ? SuspectSourcePenalty
+                : 0;
             return waiting + (server.domain == need.domain ? 0 : PrefillOtherDomainPenalty);
         });
 }
