--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -46,7 +46,7 @@
     std::string found = "none";
     int count = 0;
     for (const auto &[key, value] : request.headers) {
-        if (sameHeaderName(key, name)) {
+        if (isSameHeaderName(key, name)) {
             found = value;
             ++count;
         }
@@ -279,10 +279,10 @@
                         {"Indigoway-Server-Load", "3,1,8"}};
         CPPUNIT_ASSERT(m_dialect.isAnswerTo("id1", head));
         CPPUNIT_ASSERT(!m_dialect.isAnswerTo("id2", head));
-        const AnswerFacts facts = m_dialect.readAnswer(head);
-        CPPUNIT_ASSERT(facts.isGenuine);
-        CPPUNIT_ASSERT(!facts.isNotExecuted);
-        CPPUNIT_ASSERT_EQUAL(8U, facts.load->slots);
+        const AnswerInfo info = m_dialect.readAnswer(head);
+        CPPUNIT_ASSERT(info.hasServerStamp);
+        CPPUNIT_ASSERT(!info.isNotExecuted);
+        CPPUNIT_ASSERT_EQUAL(8U, info.load->slots);
         head.headers = {{"Indigoway-Not-Executed", "1"}};
         head.status = 503;
         CPPUNIT_ASSERT(m_dialect.readAnswer(head).isNotExecuted);
@@ -294,12 +294,15 @@
 
     void readsGrants()
     {
-        CPPUNIT_ASSERT_EQUAL(std::string("r"),
-                             m_dialect.readGrant(CallKind::Reserve, R"({"hold":"r"})").reservation);
+        CPPUNIT_ASSERT_EQUAL(
+            std::string("r"),
+            m_dialect.readEngineAnswer(CallKind::Reserve, R"({"hold":"r"})").reservation);
         CPPUNIT_ASSERT_EQUAL(
             std::string("h"),
-            m_dialect.readGrant(CallKind::Prefill, R"({"kv_handle":"h","tokens":3})").handle);
-        CPPUNIT_ASSERT(m_dialect.readGrant(CallKind::Reserve, "{\"hold\":").reservation.empty());
+            m_dialect.readEngineAnswer(CallKind::Prefill, R"({"kv_handle":"h","tokens":3})")
+                .handle);
+        CPPUNIT_ASSERT(
+            m_dialect.readEngineAnswer(CallKind::Reserve, "{\"hold\":").reservation.empty());
     }
 
     void readsTheDesiredState()
@@ -360,7 +363,7 @@
         CPPUNIT_ASSERT_EQUAL(first.instance, second.instance);
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t {1'764'000'009'000},
-            m_dialect.readGrant(CallKind::Report, R"({"sequence":0,"born":1764000009000})")
+            m_dialect.readEngineAnswer(CallKind::Report, R"({"sequence":0,"born":1764000009000})")
                 .report->startedAt);
     }
 
@@ -432,7 +435,7 @@
                 RC_ASSERT(server->slots > 0U);
             }
             (void)m_codec.decodeRouting(text);
-            (void)m_dialect.readGrant(CallKind::Report, text);
+            (void)m_dialect.readEngineAnswer(CallKind::Report, text);
         });
         CPPUNIT_ASSERT(isProven);
     }
