--- a/include/indigoway/announcedserver.h
+++ b/include/indigoway/announcedserver.h
@@ -8,7 +8,7 @@
 
 namespace indigoway {
 
-/** Which part of a generation a model engine does; None for plain services. */
+/** The phase of text generation that a model engine runs; None for plain services. */
 enum class EnginePhase {
     None,
     Prefill,
@@ -16,20 +16,20 @@
 };
 
 /**
- * A backend server as it announced itself. Its name stands for one life: a server that started
- * again holds and knows nothing of before, so that it gets another name here, and whatever was
- * kept under the old one (memory given out, failures, connections, orders) ends with it.
+ * A backend server as it announced itself. The name identifies one life of the server: a restart
+ * loses all its state, so the restarted server gets a new name, and everything recorded under the
+ * old one (allocated memory, failures, connections, orders) is dropped.
  */
 struct AnnouncedServer
 {
     ServerName name;
-    std::string instance;        ///< What it calls itself, in each of its lives; calls name it.
-    std::uint64_t startedAt = 0; ///< Marks its life; 0 if it does not tell.
+    std::string instance;        ///< Its own name, the same after a restart; sent with calls.
+    std::uint64_t startedAt = 0; ///< Identifies its life; 0 if not announced.
     ServiceName service;
-    std::string address; ///< "IP:port"; another server may have had it before.
+    std::string address; ///< "IP:port"; may have belonged to another server before.
     DomainName domain;
     std::uint32_t slots = 1;
-    bool isDraining = false; ///< It is leaving: no new work.
+    bool isDraining = false; ///< The server is leaving and gets no new requests.
     EnginePhase phase = EnginePhase::None;
     bool operator==(const AnnouncedServer &) const = default;
 };
--- a/include/indigoway/crashnote.h
+++ b/include/indigoway/crashnote.h
@@ -6,7 +6,7 @@
 
 namespace indigoway {
 
-/** What all nodes are to know of a content: the count-th crash in a row under it; 0: an answer. */
+/** The number of consecutive server crashes that a content caused; 0 after a successful answer. */
 struct CrashNote
 {
     ContentId content;
--- a/include/indigoway/deployment.h
+++ b/include/indigoway/deployment.h
@@ -10,36 +10,36 @@
 
 namespace indigoway {
 
-/** What a pool's servers do. */
+/** The kind of work that the servers of a pool do. */
 enum class Role {
     Prefill,
     Decode,
     Service,
 };
 
-/** Whether a backend server is given new work. */
+/** Administrative state of a backend server. */
 enum class ServerState {
     Active,
-    Draining, ///< No new work; what runs may finish.
-    Stopped,  ///< No new work; what runs is cancelled.
+    Draining, ///< No new requests; running ones finish.
+    Stopped,  ///< No new requests; running ones are cancelled.
 };
 
-/** What happens to a request that can no longer meet its target. */
+/** What to do with a request that can no longer meet its latency target. */
 enum class LatePolicy {
-    Refuse, ///< Answer at once with when to come back.
-    Finish, ///< Serve it with what capacity others leave.
+    Refuse, ///< Refuse at once, with a time after which to retry.
+    Finish, ///< Serve it with the capacity that other requests leave free.
 };
 
-/** A backend server as operators declared it. */
+/** A backend server as declared by operators. */
 struct Server
 {
     ServerName name;
     PoolName pool;
     std::string address; ///< "IP:port"
     DomainName domain;
-    std::uint32_t slots = 20; ///< Requests it holds at a time (decode, service).
+    std::uint32_t slots = 20; ///< Concurrent requests (decode and service roles).
     ServerState state = ServerState::Active;
-    bool checksFencing = false; ///< Refuses an order with an old fencing number.
+    bool checksFencing = false; ///< The server refuses orders with an old fencing number.
     auto operator<=>(const Server &) const = default;
 };
 
@@ -49,11 +49,11 @@
     PoolName name;
     Role role = Role::Service;
     TargetName target;
-    std::uint64_t linkRate = 0; ///< Bytes a second of a server's transfer link; 0: not limited.
+    std::uint64_t linkRate = 0; ///< Transfer bandwidth of a server in bytes/s; 0: no limit.
     auto operator<=>(const Pool &) const = default;
 };
 
-/** A model or plain service with its targets and limits. */
+/** A model or plain service with its latency targets and limits. */
 struct Target
 {
     TargetName name;
@@ -67,13 +67,13 @@
     std::uint32_t maxPromptTokens = 32768;
     std::uint32_t maxOutputTokens = 4096;
     std::uint32_t maxQueued = 2000; ///< Waiting requests per cell.
-    std::uint32_t kvBytes = 0;      ///< KV cache per prompt token in bytes; 0: not known.
+    std::uint32_t kvBytes = 0;      ///< KV cache per prompt token in bytes; 0: unknown.
     LatePolicy late = LatePolicy::Finish;
-    bool repeatable = true; ///< Default for requests that do not say.
+    bool repeatable = true; ///< Default for requests that do not specify it.
     auto operator<=>(const Target &) const = default;
 };
 
-/** All that operators have declared; an immutable value per revision. */
+/** All declarations of the operators; an immutable value per revision. */
 struct Deployment
 {
     std::map<TargetName, Target> targets;
@@ -83,11 +83,11 @@
     const Target *target(const TargetName &name) const;
     const Pool *pool(const PoolName &name) const;
     const Server *server(const ServerName &name) const;
-    /** The plain service whose path prefix is the longest match of @p path, or null. */
+    /** Returns the plain service with the longest path prefix that matches @p path, or null. */
     const Target *serviceFor(const std::string &path) const;
-    /** Servers of @p role for @p target, in name order. */
+    /** Returns the servers of @p role for @p target, in name order. */
     std::vector<const Server *> serversOf(const TargetName &target, Role role) const;
-    /** Role of @p server's pool; nothing if the pool is not declared. */
+    /** Returns the role of @p server's pool, or nothing if server or pool is not declared. */
     std::optional<Role> roleOf(const ServerName &server) const;
     bool operator==(const Deployment &) const = default;
 };
--- a/include/indigoway/effects.h
+++ b/include/indigoway/effects.h
@@ -11,10 +11,10 @@
 #include <variant>
 #include <vector>
 
-/** @file What a node wants done: the reducer's output, carried out in order. */
+/** @file The output of the node's reducer: effects, carried out in order. */
 namespace indigoway {
 
-/** Runs the prompt, and what was already answered, on a prefill server. */
+/** Runs the prompt and the part of the answer already sent on a prefill server. */
 struct StartPrefill
 {
     CallNumber call;
@@ -22,11 +22,11 @@
     EngineRequestName name;
     ServerName server;
     std::string address;
-    std::uint32_t answeredTokens = 0; ///< Tokens of the answer to append to the prompt.
-    bool isFreshConnection = false;   ///< Never reuse one: a stale one would be in doubt.
+    std::uint32_t answeredTokens = 0; ///< Answer tokens already sent, appended to the prompt.
+    bool isFreshConnection = false;   ///< Reusing a stale connection could leave the call in doubt.
 };
 
-/** Generates from the prefill's exported result. */
+/** Generates output tokens from the exported result of the prefill. */
 struct StartDecode
 {
     CallNumber call;
@@ -37,7 +37,7 @@
     std::uint32_t answeredTokens = 0;
 };
 
-/** Attaches again to a running stream of the same engine. */
+/** Reconnects to a running stream of the same engine. */
 struct ResumeDecode
 {
     CallNumber call;
@@ -45,7 +45,7 @@
     EngineRequestName name;
     ServerName server;
     std::string address;
-    std::uint32_t offset = 0; ///< Tokens of this attempt already here.
+    std::uint32_t offset = 0; ///< Number of tokens of this attempt already received.
 };
 
 struct CallService
@@ -58,13 +58,13 @@
     bool isFreshConnection = false;
 };
 
-/** Closes the call's connection; nothing more is wanted of it. */
+/** Closes the connection of a call whose result is no longer needed. */
 struct AbandonCall
 {
     CallNumber call;
 };
 
-/** Asks an engine to free all it holds for @p request. */
+/** Asks an engine to free all resources that it holds for @p request. */
 struct CancelOnEngine
 {
     ServerName server;
@@ -72,7 +72,7 @@
     EngineRequestName request;
 };
 
-/** Asks a backend server for its load and its requests. */
+/** Asks a backend server for its load and, if @p withRequests is set, its requests. */
 struct FetchReport
 {
     ServerName server;
@@ -80,7 +80,7 @@
     bool withRequests = false;
 };
 
-/** Orders an engine to serve @p version; not to be sent after @p notAfter. */
+/** Orders an engine to serve @p version. Must not be sent after @p notAfter. */
 struct IssueOrder
 {
     ServerName server;
@@ -91,27 +91,27 @@
     TimePoint notAfter {};
 };
 
-/** Passes the tokens of the event, all of them, to the caller. */
+/** Relays all tokens of the current event to the caller. */
 struct RelayTokens
 {
     RequestNumber request;
     std::uint32_t count = 0;
 };
 
-/** The answer is whole: ends it. */
+/** Ends an answer that is complete. */
 struct FinishAnswer
 {
     RequestNumber request;
 };
 
-/** What a caller may conclude from a refusal. */
+/** Whether a refused request was executed. */
 enum class Execution {
     NotExecuted,
     InDoubt,
-    Done, ///< An earlier request with the same key was executed.
+    Done, ///< An earlier request with the same idempotency key was executed.
 };
 
-/** Why a request ends without a whole answer. */
+/** Why a request ends without a complete answer. */
 enum class RefusalReason {
     UnknownTarget,
     PromptTooLong,
@@ -128,7 +128,7 @@
     ConfigurationUnknown,
 };
 
-/** Ends the request without a whole answer; at once. */
+/** Ends a request at once, without a complete answer. */
 struct RefuseRequest
 {
     RequestNumber request;
@@ -156,7 +156,7 @@
 {
     std::string key;
     bool isPrefix = false;
-    std::uint32_t limit = 0; ///< 0: all.
+    std::uint32_t limit = 0; ///< 0: no limit.
     bool newestFirst = false;
 };
 
@@ -164,8 +164,8 @@
 struct StoreCompare
 {
     std::string key;
-    std::int64_t modRevision = 0;     ///< The key's; 0 means absent. Not compared with a value.
-    std::optional<std::string> value; ///< If given, what the key must hold.
+    std::int64_t modRevision = 0;     ///< Expected; 0: the key is absent. Ignored if value is set.
+    std::optional<std::string> value; ///< Expected value.
 };
 
 struct StorePut
@@ -175,7 +175,7 @@
     std::int64_t lease = 0;
 };
 
-/** Puts and deletes if all conditions hold; else reads @p elseGet. */
+/** Applies puts and deletes if all conditions hold, and otherwise reads @p elseGet. */
 struct StoreTransaction
 {
     std::vector<StoreCompare> conditions;
@@ -202,7 +202,7 @@
     StoreRequest request;
 };
 
-/** How an operator's command ended. */
+/** The result of an operator's command. */
 struct CommandOutcome
 {
     enum class Kind {
@@ -211,11 +211,11 @@
         SyntaxError,
         Invalid,
         LostRace,
-        Unavailable, ///< The store is away; certainly nothing was changed.
-        InDoubt,     ///< The store went away in the middle; ask for the revision again.
+        Unavailable, ///< The store did not answer; nothing was changed.
+        InDoubt,     ///< The store did not confirm the write; it may have taken effect.
     };
     Kind kind = Kind::Accepted;
-    Revision revision; ///< Made, or lost to.
+    Revision revision; ///< The resulting revision; for LostRace, the one that won.
     std::string message;
 };
 
@@ -225,14 +225,14 @@
     CommandOutcome outcome;
 };
 
-/** A query's answer. */
+/** Answers an operator's query. */
 struct AnswerQuery
 {
     CommandNumber command;
     Table table;
     bool asJson = false;
     std::vector<std::string> notes; ///< Such as the nodes that did not answer.
-    std::string error;              ///< Not empty: the query could not be answered.
+    std::string error;              ///< Set if the query could not be answered.
 };
 
 enum class Counter : std::uint8_t {
@@ -280,13 +280,13 @@
     Duration value {};
 };
 
-/** A change of state worth a line in the log. */
+/** Writes a line to the log. */
 struct LogChange
 {
     std::string what;
 };
 
-/** The node has finished all it had; the process may end. */
+/** The node has finished its work; the process can exit. */
 struct ShutdownFinished
 {
 };
--- a/include/indigoway/events.h
+++ b/include/indigoway/events.h
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-/** @file What happens to a node: the reducer's input. */
+/** @file The input of the node's reducer: events. */
 namespace indigoway {
 
-/** A caller's request as the reducer sees it; the body stays with the HTTP side. */
+/** The part of a caller's request that the reducer needs; the HTTP layer keeps the body. */
 struct RequestSpec
 {
     TargetName target;
@@ -40,14 +40,14 @@
 
 /** How a call to a backend server ended. */
 enum class CallOutcome {
-    Whole,        ///< The protocol's own last marker was seen.
-    Truncated,    ///< Broke off after the request was written: in doubt.
-    NotConnected, ///< The connection was never made: certainly not executed.
-    Rejected,     ///< The server answered that it did not run it (full, draining, 429, 503).
-    Invalid,      ///< The server answered that the request is at fault (other 4xx).
-    Crossed,      ///< The answer carries another request's name.
+    Whole,        ///< The protocol's end marker was received.
+    Truncated,    ///< Connection lost after the request was sent: in doubt.
+    NotConnected, ///< No connection was established: not executed.
+    Rejected,     ///< The server did not run it (full, draining, status 429 or 503).
+    Invalid,      ///< The server reported an error in the request (other 4xx status).
+    Crossed,      ///< The answer belongs to another request.
     TimedOut,
-    NotFound, ///< The engine no longer has the stream or the prefill's result.
+    NotFound, ///< The engine no longer has the stream or the prefill result.
 };
 
 struct PrefillFinished
@@ -56,7 +56,7 @@
     CallOutcome outcome = CallOutcome::Whole;
 };
 
-/** Output tokens of a decode call, in order; @p offset counts within the call's attempt. */
+/** Output tokens of a decode call, in order. @p offset is the first one's index in the attempt. */
 struct TokensArrived
 {
     CallNumber call;
@@ -70,14 +70,14 @@
     CallOutcome outcome = CallOutcome::Whole;
 };
 
-/** A plain service's whole answer is there, or will not come. */
+/** A call to a plain service has ended, with a complete answer or a failure. */
 struct ServiceFinished
 {
     CallNumber call;
     CallOutcome outcome = CallOutcome::Whole;
 };
 
-/** Answer to CancelOnEngine. */
+/** The result of CancelOnEngine. */
 struct CancelFinished
 {
     ServerName server;
@@ -85,7 +85,7 @@
     bool isConfirmed = false;
 };
 
-/** A backend server's report: its load and the requests it holds. May lag. */
+/** A backend server's report of its load and its requests, which may be outdated. */
 struct ReportArrived
 {
     ServerName server;
@@ -93,10 +93,10 @@
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::vector<EngineRequestName> requests;
-    std::string version; ///< Of the model it serves; empty if it did not say.
+    std::string version; ///< Of the model that is served; empty if not reported.
 };
 
-/** Answer to IssueOrder. */
+/** The result of IssueOrder. */
 struct OrderFinished
 {
     ServerName server;
@@ -104,7 +104,7 @@
     bool isAccepted = false;
 };
 
-/** Prefixes that a server's cache took in or dropped. Late, and some are missing. */
+/** Prefixes added to or evicted from a server's cache. May be late or incomplete. */
 struct CacheEventsArrived
 {
     ServerName server;
@@ -132,7 +132,7 @@
     std::int64_t modRevision = 0;
 };
 
-/** The store answered. @p isApplied: whether the transaction's conditions held. */
+/** An answer of the store. @p isApplied tells whether a transaction's conditions held. */
 struct StoreResult
 {
     bool isApplied = false;
@@ -140,7 +140,7 @@
     std::int64_t lease = 0;
 };
 
-/** No answer: it may have taken effect. */
+/** The store did not answer; the call may have taken effect. */
 struct StoreFailed
 {
     std::string reason;
@@ -158,9 +158,9 @@
     CommandNumber command;
     std::string text;
     std::string who;
-    std::string when; ///< Wall clock, RFC 3339; for the record only.
+    std::string when; ///< Wall-clock time (RFC 3339), only for the change history.
     std::optional<Revision> expected;
-    bool isWholeDeployment = false; ///< The text is a whole deployment's declarations.
+    bool isWholeDeployment = false; ///< The text replaces the whole deployment.
 };
 
 /** An operator's query. */
@@ -170,12 +170,12 @@
     std::string text;
 };
 
-/** The node is asked to leave. */
+/** A request to shut the node down. */
 struct ShutdownRequested
 {
 };
 
-/** Time has passed; due timers are run. */
+/** Runs the timers that are due. */
 struct Tick
 {
 };
--- a/include/indigoway/ids.h
+++ b/include/indigoway/ids.h
@@ -9,12 +9,12 @@
 
 namespace indigoway {
 
-/** Monotonic time of one process; never compared between processes. */
+/** Monotonic time of one process, not comparable between processes. */
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
-/** Durations inside the decision logic. */
+/** Duration in microseconds, as used by the reducers. */
 using Duration = std::chrono::microseconds;
 
-/** A textual identifier that only compares with its own kind. */
+/** A strongly typed textual identifier. */
 template <typename Tag>
 class Name
 {
@@ -31,7 +31,7 @@
     std::string m_text;
 };
 
-/** A numeric identifier that only compares with its own kind. Zero means "none". */
+/** A strongly typed numeric identifier. Zero means "none". */
 template <typename Tag>
 class Number
 {
@@ -48,18 +48,18 @@
     std::uint64_t m_value = 0;
 };
 
-/** An entry VM's node of the system. */
+/** The node that runs on an entry VM. */
 using NodeName = Name<struct NodeTag>;
 /** A backend server: a model engine or a plain service's worker. */
 using ServerName = Name<struct ServerTag>;
 using PoolName = Name<struct PoolTag>;
-/** A model or a plain service: what a caller asks for. */
+/** A model or a plain service that callers can request. */
 using TargetName = Name<struct TargetTag>;
 /** A failure domain. */
 using DomainName = Name<struct DomainTag>;
-/** What a request asks for: the same in each of its attempts, whoever's node they reach. */
+/** Identifies the content of a request; equal for all attempts, on whatever node. */
 using ContentId = Name<struct ContentTag>;
-/** A request as a backend server knows it; see engineRequestName(). */
+/** The name of a request on a backend server; see engineRequestName(). */
 using EngineRequestName = Name<struct EngineRequestTag>;
 
 /** A caller's request on this node. */
@@ -76,12 +76,12 @@
 using CommandNumber = Number<struct CommandTag>;
 /** A claim on a cell's capacity, unique within one scheduler's incarnation. */
 using ClaimNumber = Number<struct ClaimTag>;
-/** Distinguishes the lives of one node; a later life has the larger number. */
+/** Numbers the lives of one node; a later life has a larger number. */
 using Incarnation = Number<struct IncarnationTag>;
-/** Configuration revision; rises by one with each accepted change. */
+/** Configuration revision, which rises by one with each accepted change. */
 using Revision = Number<struct RevisionTag>;
 
-/** A node in one of its lives. */
+/** One life of a node, from the start of its process to the end. */
 struct NodeLife
 {
     NodeName node;
@@ -90,14 +90,14 @@
 };
 
 /**
- * The name under which an engine knows an attempt of a request:
- * node "." incarnation "." request "." attempt. The owner can be read off it,
- * which is what reclaiming after the owner's death relies on.
+ * Returns the name of an attempt of a request on an engine:
+ * node "." incarnation "." request "." attempt. Requests of a dead owner are
+ * found by the owner in this name.
  */
 EngineRequestName engineRequestName(const NodeLife &owner, RequestNumber request,
                                     std::uint32_t attempt);
 
-/** The owner in @p name; an empty node name if it is not one of the system's. */
+/** Returns the owner in @p name, or an empty node name if engineRequestName() did not make it. */
 NodeLife ownerOf(const EngineRequestName &name);
 
 } // namespace indigoway
--- a/include/indigoway/messages.h
+++ b/include/indigoway/messages.h
@@ -9,52 +9,52 @@
 
 /**
  * @file
- * What nodes say to each other. Times are durations relative to the sender's "now", since
- * clocks of different VMs are never compared.
+ * Messages between nodes. Times are sent as durations relative to the sender's current time,
+ * because the clocks of different VMs are not comparable.
  */
 namespace indigoway {
 
 enum class MemberState {
     Alive,
-    Leaving, ///< Finishes what it has; takes nothing new and looks after nothing.
+    Leaving, ///< Finishes open requests; is not listed to callers and schedules no cell.
     Suspect,
     Dead,
 };
 
-/** One node's state as gossip carries it. */
+/** The state of one node, spread by gossip. */
 struct MemberUpdate
 {
     NodeLife life;
     MemberState state = MemberState::Alive;
-    /** Raised by the node itself to refute a suspicion within one life. */
+    /** Raised by the node itself to refute a suspicion. */
     std::uint64_t version = 0;
-    std::string callerAddress; ///< Where callers connect.
-    std::string peerAddress;   ///< Where peers connect.
+    std::string callerAddress; ///< Address for callers.
+    std::string peerAddress;   ///< Address for peers.
     DomainName domain;
     bool operator==(const MemberUpdate &) const = default;
 };
 
-/** Liveness probe; carries gossip both ways. */
+/** A liveness probe; gossip is exchanged with it in both directions. */
 struct Ping
 {
     MemberUpdate from;
     std::vector<MemberUpdate> updates;
     Revision revision;
-    bool wantsAll = false; ///< A joiner asks for the whole member list.
+    bool wantsAll = false; ///< Asks for the whole member list, when joining.
 };
 
-/** Asks the receiver to probe @p target on the sender's behalf. */
+/** Asks the receiver to probe @p target (an indirect probe). */
 struct PingOnBehalf
 {
     MemberUpdate target;
 };
 
-/** Asks for the configuration the receiver has. */
+/** Asks for the receiver's active configuration. */
 struct FetchConfiguration
 {
 };
 
-/** Names a claim by who made it, which both sides know also when its grant was lost. */
+/** Identifies a claim by the request that made it, also if the grant was lost. */
 struct ClaimIdentity
 {
     NodeLife owner;
@@ -63,7 +63,7 @@
     auto operator<=>(const ClaimIdentity &) const = default;
 };
 
-/** Asks a cell's scheduler for capacity. Answered when it is granted or refused. */
+/** Asks a cell's scheduler for capacity. Answered once the claim is granted or refused. */
 struct ClaimCapacity
 {
     NodeLife owner;
@@ -72,18 +72,18 @@
     TargetName target;
     std::uint32_t cell = 0;
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; ///< Expected, at most the caller's limit.
-    Duration untilDeadline {};      ///< Negative once the first-token target is missed.
+    std::uint32_t outputTokens = 0; ///< Expected number, at most the caller's limit.
+    Duration untilDeadline {};      ///< Time to the first-token target; negative if missed.
     Duration patience {};           ///< Longest wait for the grant.
     std::uint32_t priority = 4;
-    bool isContinuation = false;             ///< Resumes an answer already partly delivered.
-    std::vector<std::uint64_t> prefixHashes; ///< Of growing prefixes, shortest first.
-    std::vector<ServerName> avoid;           ///< Servers that failed this request.
+    bool isContinuation = false;             ///< Continues a partly delivered answer.
+    std::vector<std::uint64_t> prefixHashes; ///< Hashes of the prompt's prefixes, shortest first.
+    std::vector<ServerName> avoid;           ///< Servers that have failed this request.
 
     ClaimIdentity identity() const { return {owner, request, attempt}; }
 };
 
-/** The prefill of a claim has ended; asks for the decode server. */
+/** Reports the end of a claim's prefill and asks for the decode server. */
 struct PrefillEnded
 {
     ClaimNumber claim;
@@ -93,8 +93,8 @@
 };
 
 /**
- * The claim is given back, with what was seen of the servers; or withdrawn before its grant was
- * heard of, and then @p claim is none.
+ * Releases a claim and reports how its servers performed. If the claim is withdrawn before its
+ * grant has arrived, @p claim is none.
  */
 struct ReleaseClaim
 {
@@ -103,11 +103,11 @@
     TargetName target;
     std::uint32_t cell = 0;
     std::uint32_t tokens = 0; ///< Output tokens of this attempt.
-    Duration decodeTime {};   ///< From first to last token.
+    Duration decodeTime {};   ///< Time from the first to the last token.
     bool serverFailed = false;
 };
 
-/** A claim that an earlier scheduler of the cell granted, made known to its successor. */
+/** Registers a claim granted by an earlier scheduler of the cell with the current one. */
 struct AdoptClaim
 {
     NodeLife owner;
@@ -119,13 +119,13 @@
     std::uint32_t outputTokens = 0;
 };
 
-/** Asks which of @p requests the receiver still owns. */
+/** Asks the receiver which of @p requests it still owns. */
 struct WhichAreYours
 {
     std::vector<EngineRequestName> requests;
 };
 
-/** Asks for the receiver's own part of a table that operators query. */
+/** Asks for the receiver's rows of a table that an operator queries. */
 struct FetchRows
 {
     std::string kind;
@@ -155,7 +155,7 @@
     std::string text;
 };
 
-/** Answer to ClaimCapacity and AdoptClaim. For a plain service @p server is the one to call. */
+/** Answer to ClaimCapacity and AdoptClaim. For a plain service, @p server is the one to call. */
 struct Granted
 {
     ClaimNumber claim;
@@ -168,13 +168,13 @@
     ServerName server;
 };
 
-/** Capacity was not given. */
+/** The claim was refused. */
 struct NotGranted
 {
     enum class Why {
-        Overload,     ///< Cannot meet the target, or the queue is full.
-        NoServer,     ///< No usable server in the cell.
-        NotScheduler, ///< The receiver does not look after the cell.
+        Overload,     ///< The target cannot be met or the queue is full.
+        NoServer,     ///< The cell has no usable server.
+        NotScheduler, ///< The receiver does not schedule the cell.
         UnknownClaim,
     };
     Why why = Why::Overload;
@@ -193,7 +193,7 @@
     Table table;
 };
 
-/** Done, nothing to tell. */
+/** Success without a result. */
 struct Acknowledged
 {
 };
@@ -201,11 +201,11 @@
 using PeerReply = std::variant<Pong, ProbeResult, ConfigurationText, Granted, DecodeAssigned,
                                NotGranted, TheseAreMine, Rows, Acknowledged>;
 
-/** No usable answer came: refused, lost, timed out or malformed. */
+/** The call failed: refused, lost, timed out, or the answer was malformed. */
 struct PeerFailed
 {
     std::string reason;
-    bool isTimeout = false; ///< No answer within the time; the call may have been taken.
+    bool isTimeout = false; ///< Not answered in time; the call may have taken effect.
 };
 
 using PeerOutcome = std::variant<PeerReply, PeerFailed>;
--- a/include/indigoway/organisation.h
+++ b/include/indigoway/organisation.h
@@ -10,31 +10,31 @@
 
 namespace indigoway {
 
-/** A customer of the operators; its callers bear one of its keys. */
+/** A customer of the operators, whose callers authenticate with one of its API keys. */
 using OrganisationName = Name<struct OrganisationTag>;
 
 /**
- * SHA-256 of an API key. Keys themselves are kept nowhere: what is looked up, compared and logged
- * by accident is the digest, from which a key cannot be had, and whose comparison tells nobody by
- * its time how much of a guess was right.
+ * SHA-256 digest of an API key. The keys themselves are not stored: a digest that is logged by
+ * accident does not reveal the key, and the time that a lookup takes does not show how much of a
+ * guessed key is right.
  */
 using KeyDigest = std::array<unsigned char, 32>;
 
 KeyDigest digestOf(std::string_view key);
 
-/** What an organisation's requests are counted in. */
+/** The unit of an organisation's quota. */
 enum class QuotaUnit {
     Requests,
-    Tokens, ///< Of the prompt, and the most of the output.
+    Tokens, ///< Prompt tokens plus the maximum of output tokens.
 };
 
-/** A token bucket over all nodes together. */
+/** A token bucket shared by all nodes. */
 struct Quota
 {
-    double perSecond = 0; ///< In units.
-    double burst = 0;     ///< In units; what may come at once.
+    double perSecond = 0; ///< Refill rate in units.
+    double burst = 0;     ///< Bucket size in units.
     QuotaUnit unit = QuotaUnit::Requests;
-    double plainCost = 1; ///< In units, of a request that names no tokens.
+    double plainCost = 1; ///< Cost in units of a request without token counts.
     bool operator==(const Quota &) const = default;
 };
 
@@ -42,8 +42,8 @@
 {
     OrganisationName name;
     std::vector<KeyDigest> keys;
-    std::optional<std::uint32_t> priority; ///< In place of the route's; 0 is the most urgent.
-    std::optional<Quota> quota;            ///< Nothing: no limit.
+    std::optional<std::uint32_t> priority; ///< Overrides the route's; 0 is the most urgent.
+    std::optional<Quota> quota;            ///< If not set: no limit.
     bool operator==(const Organisation &) const = default;
 };
 
--- a/include/indigoway/routing.h
+++ b/include/indigoway/routing.h
@@ -12,10 +12,10 @@
 namespace indigoway {
 
 using RouteName = Name<struct RouteTag>;
-/** A set of backend servers that serve the same thing. */
+/** A set of interchangeable backend servers. */
 using ServiceName = Name<struct ServiceTag>;
 
-/** Whether a backend server may run a request again after an attempt whose end is not known. */
+/** Whether a request can be retried after an attempt with an unknown outcome. */
 enum class Repetition {
     Idempotent,
     AtMostOnce,
@@ -29,7 +29,7 @@
     bool operator==(const ServiceShare &) const = default;
 };
 
-/** Where requests for a host and a path prefix go, and what was promised for them. */
+/** Services and service levels for requests with a given host and path prefix. */
 struct Route
 {
     RouteName name;
@@ -38,23 +38,23 @@
     std::vector<ServiceShare> shares;
     Repetition repetition = Repetition::AtMostOnce;
     bool isStream = false;         ///< The answer is a series of events.
-    bool isResumable = false;      ///< A stream may go on at another server after an event id.
-    bool isOpen = false;           ///< Callers need no key, also where organisations have some.
-    std::uint32_t maxAttempts = 1; ///< Servers that may run one request.
+    bool isResumable = false;      ///< Streams can continue on another server after an event id.
+    bool isOpen = false;           ///< Callers need no API key.
+    std::uint32_t maxAttempts = 1; ///< Most servers that may run one request.
     std::uint32_t priority = 0;    ///< 0 is the most urgent.
-    Duration timeout {};           ///< Longest time to the final answer.
-    Duration target {};            ///< Time to the (first piece of the) answer that is aimed at.
+    Duration timeout {};           ///< Limit for the complete answer.
+    Duration target {};            ///< Target latency of the answer, or of a stream's first event.
     bool operator==(const Route &) const = default;
 };
 
-/** What a service's model engines can hold. */
+/** Capacity and timing of a service's model engines. */
 struct EngineTraits
 {
-    std::uint32_t slots = 0;        ///< Requests that run at once.
-    std::uint64_t memoryTokens = 0; ///< KV cache of one engine.
-    Duration handleKept {};         ///< How long a prefill's result waits for its decode.
-    Duration longestReservation {}; ///< Longest time that capacity can be reserved for.
-    Duration phaseChange {};        ///< How long an engine is away when its phase changes.
+    std::uint32_t slots = 0;        ///< Concurrent requests.
+    std::uint64_t memoryTokens = 0; ///< KV cache size of one engine in tokens.
+    Duration handleKept {};         ///< How long a prefill result is kept for its decode.
+    Duration longestReservation {}; ///< Longest time for which capacity can be reserved.
+    Duration phaseChange {};        ///< How long an engine is unavailable during a phase change.
     std::uint32_t tokensPerEvent = 1;
     bool operator==(const EngineTraits &) const = default;
 };
@@ -62,12 +62,12 @@
 struct Service
 {
     ServiceName name;
-    std::uint32_t maxConnections = 0;   ///< To one server, from all nodes together.
-    std::optional<EngineTraits> engine; ///< Only for services of model engines.
+    std::uint32_t maxConnections = 0;   ///< To one server, over all nodes.
+    std::optional<EngineTraits> engine; ///< Set only for model engines.
     bool operator==(const Service &) const = default;
 };
 
-/** Bounds on what a caller may send, and on how slowly. */
+/** Size and time limits for callers' requests. */
 struct CallerLimits
 {
     std::size_t headerBytes = std::size_t {16} * 1024;
@@ -77,7 +77,7 @@
     bool operator==(const CallerLimits &) const = default;
 };
 
-/** The whole desired state of routing at one version. */
+/** The complete routing configuration at one version. */
 struct RoutingState
 {
     std::uint64_t version = 0;
@@ -85,7 +85,7 @@
     std::map<ServiceName, Service> services;
     CallerLimits limits;
     std::vector<Organisation> organisations;
-    bool wantsKeys = false; ///< Callers have to show a key, except on open routes.
+    bool wantsKeys = false; ///< Callers need an API key, except on open routes.
 };
 
 } // namespace indigoway
--- a/include/indigoway/table.h
+++ b/include/indigoway/table.h
@@ -5,7 +5,7 @@
 
 namespace indigoway {
 
-/** An answer to an operator's query: named columns and rows of the same width. */
+/** The result of an operator's query: named columns, and rows of the same width. */
 struct Table
 {
     std::vector<std::string> columns;
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -27,22 +27,23 @@
 namespace {
 
 constexpr Duration PollInterval = std::chrono::seconds(1);
-/** Past this a command whose write was never answered is answered "in doubt". */
-constexpr Duration SettleFor = std::chrono::seconds(10);
-constexpr Duration SettleAgainAfter = std::chrono::milliseconds(500);
+/** A command whose write is not answered within this time ends in doubt. */
+constexpr Duration WriteRetryTimeout = std::chrono::seconds(10);
+constexpr Duration WriteRetryDelay = std::chrono::milliseconds(500);
 constexpr Duration PeerFetchTimeout = std::chrono::seconds(3);
-/** The platform's limit of a value, less room for the revision. */
-constexpr std::size_t MostTextBytes = 1'000'000;
-constexpr std::size_t MostRecordBytes = 32'768;
-/** Entries of the record that are kept; the oldest goes with each change. */
-constexpr std::uint64_t MostRecords = 5'000;
+/** The store's limit on a value, less room for the revision. */
+constexpr std::size_t MaxTextBytes = 1'000'000;
+constexpr std::size_t MaxRecordFieldBytes = 32'768;
+/** Size of the change history; each further change deletes the oldest entry. */
+constexpr std::uint64_t MaxRecords = 5'000;
 
-std::string shortened(const std::string &text)
+std::string truncated(const std::string &text)
 {
-    return text.size() <= MostRecordBytes ? text : text.substr(0, MostRecordBytes) + "\n[cut]";
+    return text.size() <= MaxRecordFieldBytes ? text
+                                              : text.substr(0, MaxRecordFieldBytes) + "\n[cut]";
 }
 
-std::string joined(const std::vector<std::string> &lines)
+std::string joinLines(const std::vector<std::string> &lines)
 {
     std::string text;
     for (const std::string &line : lines) {
@@ -57,7 +58,7 @@
     std::string text;
 };
 
-RevisionText splitValue(const std::string &value)
+RevisionText parseTextEntry(const std::string &value)
 {
     std::uint64_t number = 0;
     const char *end = value.data() + value.size();
@@ -68,7 +69,7 @@
     return {Revision(number), std::string(stop + 1, end)};
 }
 
-const StoreEntry *entryOf(const StoreResult &result, const std::string &key)
+const StoreEntry *findEntry(const StoreResult &result, const std::string &key)
 {
     for (const StoreEntry &entry : result.entries) {
         if (entry.key == key) {
@@ -114,7 +115,7 @@
 {
     Command &pending = m_commands[command.command];
     pending.arrived = command;
-    pending.since = turn.now;
+    pending.startedAt = turn.now;
     pending.id = turn.members.life().node.text() + '.'
         + std::to_string(turn.members.life().incarnation.value()) + '.'
         + std::to_string(command.command.value());
@@ -122,9 +123,9 @@
     m_calls[call] = {Purpose::ForCommand, command.command};
 }
 
-void Configuration::heard(Turn &turn, Revision heard, const NodeName &from)
+void Configuration::fetchIfNewer(Turn &turn, Revision revision, const NodeName &from)
 {
-    if (heard <= m_revision || m_peerFetch) {
+    if (revision <= m_revision || m_peerFetch) {
         return;
     }
     m_peerFetch = turn.ask(from, FetchConfiguration {}, PeerFetchTimeout);
@@ -158,10 +159,10 @@
     m_calls.erase(it);
     const auto *result = std::get_if<StoreResult>(&answer.outcome);
     if (result) {
-        m_storeSeen = turn.now;
+        m_lastStoreAnswer = turn.now;
     }
-    if (call.purpose == Purpose::PollHead) {
-        const StoreEntry *head = result ? entryOf(*result, storekeys::Head) : nullptr;
+    if (call.purpose == Purpose::PollRevision) {
+        const StoreEntry *head = result ? findEntry(*result, storekeys::Head) : nullptr;
         std::uint64_t number = 0;
         if (head) {
             std::from_chars(head->value.data(), head->value.data() + head->value.size(), number);
@@ -173,8 +174,8 @@
     }
     if (call.purpose == Purpose::FetchText) {
         m_isFetching = false;
-        if (const StoreEntry *text = result ? entryOf(*result, storekeys::Text) : nullptr) {
-            takeValue(turn, *text);
+        if (const StoreEntry *text = result ? findEntry(*result, storekeys::Text) : nullptr) {
+            adoptEntry(turn, *text);
         }
         return true;
     }
@@ -184,13 +185,13 @@
     }
     switch (command->second.phase) {
     case Phase::Reading:
-        commandRead(turn, call.command, answer);
+        handleBaseRead(turn, call.command, answer);
         break;
     case Phase::Writing:
-        commandWritten(turn, call.command, answer);
+        handleFirstWrite(turn, call.command, answer);
         break;
-    case Phase::Settling:
-        commandSettled(turn, call.command, answer);
+    case Phase::RetryingWrite:
+        handleWriteResult(turn, call.command, answer);
         break;
     }
     return true;
@@ -208,12 +209,12 @@
         if (it == m_commands.end()) {
             continue;
         }
-        if (turn.now - it->second.since > SettleFor) {
+        if (turn.now - it->second.startedAt > WriteRetryTimeout) {
             answer(turn, number,
                    {CommandOutcome::Kind::InDoubt, Revision(it->second.base.value() + 1),
-                    "the key-value service went away before it answered; if revision "
+                    "the key-value service did not confirm the change; if revision "
                         + std::to_string(it->second.base.value() + 1)
-                        + " in the record of changes carries this command, it was accepted"});
+                        + " in the change history has this command, it was accepted"});
             continue;
         }
         const auto call = turn.callStore(it->second.transaction);
@@ -224,7 +225,7 @@
 void Configuration::poll(Turn &turn)
 {
     if (m_isPolling || !isKnown()) {
-        m_calls[turn.callStore(StoreGet {storekeys::Head})] = {Purpose::PollHead, {}};
+        m_calls[turn.callStore(StoreGet {storekeys::Head})] = {Purpose::PollRevision, {}};
     }
 }
 
@@ -238,14 +239,14 @@
 
 bool Configuration::adopt(Turn &turn, Revision revision, const std::string &text)
 {
-    // Never back: an answer that was under way while a newer revision came is dropped.
+    // A late answer must not replace a newer revision.
     if (revision <= m_revision) {
         return false;
     }
     auto parsed = applyText({}, text);
     if (const auto *error = std::get_if<LanguageError>(&parsed)) {
-        turn.log("configuration " + std::to_string(revision.value())
-                 + " cannot be read: " + error->text());
+        turn.log("configuration revision " + std::to_string(revision.value())
+                 + " cannot be parsed: " + error->text());
         return false;
     }
     m_deployment = std::get<Deployment>(std::move(parsed));
@@ -253,32 +254,33 @@
     m_revision = revision;
     m_text = text;
     m_hasChanged = true;
-    turn.log("configuration " + std::to_string(revision.value()) + " is in force");
+    turn.log("configuration revision " + std::to_string(revision.value()) + " is active");
     return true;
 }
 
-void Configuration::takeValue(Turn &turn, const StoreEntry &entry)
+void Configuration::adoptEntry(Turn &turn, const StoreEntry &entry)
 {
-    const RevisionText found = splitValue(entry.value);
+    const RevisionText found = parseTextEntry(entry.value);
     adopt(turn, found.revision, found.text);
 }
 
-void Configuration::commandRead(Turn &turn, CommandNumber number, const StoreAnswered &answered)
+void Configuration::handleBaseRead(Turn &turn, CommandNumber number,
+                                   const StoreAnswered &storeAnswer)
 {
     Command &command = m_commands.at(number);
-    const auto *result = std::get_if<StoreResult>(&answered.outcome);
+    const auto *result = std::get_if<StoreResult>(&storeAnswer.outcome);
     if (!result) {
         answer(turn, number,
                {CommandOutcome::Kind::Unavailable, m_revision,
                 "the key-value service does not answer; nothing was changed"});
         return;
     }
-    const StoreEntry *entry = entryOf(*result, storekeys::Text);
-    const RevisionText base = entry ? splitValue(entry->value) : RevisionText {};
+    const StoreEntry *entry = findEntry(*result, storekeys::Text);
+    const RevisionText base = entry ? parseTextEntry(entry->value) : RevisionText {};
     command.base = base.revision;
     command.baseModRevision = entry ? entry->modRevision : 0;
     if (command.arrived.expected && *command.arrived.expected != base.revision) {
-        lostRace(turn, number, "");
+        answerConflict(turn, number, "");
         return;
     }
     auto current = applyText({}, base.text);
@@ -296,11 +298,11 @@
         return;
     }
     command.nextText = declarationsOf(command.next);
-    if (command.nextText.size() > MostTextBytes) {
+    if (command.nextText.size() > MaxTextBytes) {
         answer(turn, number,
                {CommandOutcome::Kind::Invalid, base.revision,
                 "the deployment takes " + std::to_string(command.nextText.size())
-                    + " bytes; the most is " + std::to_string(MostTextBytes)});
+                    + " bytes; the limit is " + std::to_string(MaxTextBytes)});
         return;
     }
     const Revision next(base.revision.value() + 1);
@@ -308,8 +310,8 @@
                                base.revision,
                                command.arrived.who,
                                command.arrived.when,
-                               shortened(command.arrived.text),
-                               shortened(joined(differences(before, command.next))),
+                               truncated(command.arrived.text),
+                               truncated(joinLines(differences(before, command.next))),
                                command.id};
     const std::string digits = std::to_string(next.value());
     StoreTransaction &transaction = command.transaction;
@@ -317,8 +319,8 @@
     transaction.puts = {{storekeys::Text, digits + '\n' + command.nextText},
                         {storekeys::Head, digits},
                         {storekeys::change(next), changeRecordText(record)}};
-    if (next.value() > MostRecords) {
-        transaction.deletes = {storekeys::change(Revision(next.value() - MostRecords))};
+    if (next.value() > MaxRecords) {
+        transaction.deletes = {storekeys::change(Revision(next.value() - MaxRecords))};
     }
     transaction.elseGet = {storekeys::change(next)};
     write(turn, number, command);
@@ -331,54 +333,56 @@
     m_calls[call] = {Purpose::ForCommand, number};
 }
 
-void Configuration::commandWritten(Turn &turn, CommandNumber number, const StoreAnswered &answered)
+void Configuration::handleFirstWrite(Turn &turn, CommandNumber number,
+                                     const StoreAnswered &storeAnswer)
 {
     Command &command = m_commands.at(number);
-    const auto *result = std::get_if<StoreResult>(&answered.outcome);
+    const auto *result = std::get_if<StoreResult>(&storeAnswer.outcome);
     if (!result) {
-        // It may have taken effect. The same conditional write again tells: it applies only if
-        // the first did not, and else the record shows whose revision this is.
-        command.phase = Phase::Settling;
-        m_timers.set({Timer::Settle, number}, turn.now + SettleAgainAfter);
+        // The write may have taken effect. Repeating the conditional write is safe: it applies only
+        // if the first did not, and otherwise returns the history entry of the new revision.
+        command.phase = Phase::RetryingWrite;
+        m_timers.set({Timer::RetryWrite, number}, turn.now + WriteRetryDelay);
         return;
     }
-    commandSettled(turn, number, answered);
+    handleWriteResult(turn, number, storeAnswer);
 }
 
-void Configuration::commandSettled(Turn &turn, CommandNumber number, const StoreAnswered &answered)
+void Configuration::handleWriteResult(Turn &turn, CommandNumber number,
+                                      const StoreAnswered &storeAnswer)
 {
     Command &command = m_commands.at(number);
-    const auto *result = std::get_if<StoreResult>(&answered.outcome);
+    const auto *result = std::get_if<StoreResult>(&storeAnswer.outcome);
     if (!result) {
-        m_timers.set({Timer::Settle, number}, turn.now + SettleAgainAfter);
+        m_timers.set({Timer::RetryWrite, number}, turn.now + WriteRetryDelay);
         return;
     }
     const std::string winner =
         result->entries.empty() ? std::string() : result->entries.front().value;
     if (result->isApplied || parseChangeRecord(winner).id == command.id) {
-        accepted(turn, number);
+        acceptCommand(turn, number);
         return;
     }
-    lostRace(turn, number, winner);
+    answerConflict(turn, number, winner);
 }
 
-void Configuration::accepted(Turn &turn, CommandNumber number)
+void Configuration::acceptCommand(Turn &turn, CommandNumber number)
 {
     const Command &command = m_commands.at(number);
-    const Revision made(command.base.value() + 1);
-    adopt(turn, made, command.nextText);
-    answer(turn, number, {CommandOutcome::Kind::Accepted, made, ""});
+    const Revision acceptedRevision(command.base.value() + 1);
+    adopt(turn, acceptedRevision, command.nextText);
+    answer(turn, number, {CommandOutcome::Kind::Accepted, acceptedRevision, ""});
 }
 
-void Configuration::lostRace(Turn &turn, CommandNumber number, const std::string &winner)
+void Configuration::answerConflict(Turn &turn, CommandNumber number, const std::string &winner)
 {
     const Command &command = m_commands.at(number);
     const ChangeRecord record = parseChangeRecord(winner);
     std::string message = "the configuration is at revision "
         + std::to_string(std::max(command.base, record.revision).value())
-        + ", not the one this command was made for";
+        + ", not at the one that this command expects";
     if (!record.revision.isNone()) {
-        message = "lost to revision " + std::to_string(record.revision.value()) + " by "
+        message = "conflicts with revision " + std::to_string(record.revision.value()) + " by "
             + record.who + ": " + record.command;
     }
     answer(turn, number,
@@ -387,7 +391,7 @@
 
 void Configuration::answer(Turn &turn, CommandNumber number, CommandOutcome outcome)
 {
-    m_timers.clear({Timer::Settle, number});
+    m_timers.clear({Timer::RetryWrite, number});
     m_commands.erase(number);
     turn.add(AnswerCommand {number, std::move(outcome)});
 }
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -15,7 +15,7 @@
 
 class Turn;
 
-/** One entry of the record of changes, as it lies in the store. */
+/** One entry of the change history in the store. */
 struct ChangeRecord
 {
     Revision revision;
@@ -24,25 +24,26 @@
     std::string when;
     std::string command;
     std::string changes; ///< Lines that differ, "+ ..." and "- ...".
-    std::string id;      ///< Of the command that made it.
+    std::string id;      ///< Of the command that made the change.
 };
 
+/** Returns @p record as JSON. */
 std::string changeRecordText(const ChangeRecord &record);
-/** A record with revision 0 if @p text is none. */
+/** Parses the result of changeRecordText(). Returns revision 0 if @p text is invalid. */
 ChangeRecord parseChangeRecord(const std::string &text);
 
-/** Where the store keeps the configuration and its record. */
+/** Store keys of the configuration and its change history. */
 namespace storekeys {
-extern const std::string Head;    ///< The revision's number alone: cheap to poll.
-extern const std::string Text;    ///< "revision\n" and the declarations.
-extern const std::string Changes; ///< Prefix of the record of changes.
+extern const std::string Head;    ///< The revision number only, cheap to poll.
+extern const std::string Text;    ///< "revision\n" followed by the declarations.
+extern const std::string Changes; ///< Key prefix of the change history.
 std::string change(Revision revision);
 } // namespace storekeys
 
 /**
- * The configuration in force on this node, and the operators' changes to it. A change is
- * accepted when its compare-and-swap has taken effect, record and all; the revision rises by
- * one with each and never falls on any node.
+ * The active configuration of this node, and the operators' changes to it. A change is accepted
+ * when one compare-and-swap has written the new text and its history entry. The revision rises by
+ * one with each change and never falls on any node.
  */
 class Configuration
 {
@@ -55,32 +56,32 @@
 
     void start(Turn &turn);
     void command(Turn &turn, const CommandArrived &command);
-    /** A peer has spoken of @p heard; it is fetched from there if it is newer. */
-    void heard(Turn &turn, Revision heard, const NodeName &from);
+    /** Fetches the configuration from @p from if @p revision is newer than the active one. */
+    void fetchIfNewer(Turn &turn, Revision revision, const NodeName &from);
     void handleFetch(Turn &turn, PeerRequestNumber number) const;
-    /** Returns whether the call was one of this subsystem's. */
+    /** Returns whether @p call was made by this subsystem. */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     bool storeAnswered(Turn &turn, const StoreAnswered &answer);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
-    /** Whether this node asks the store itself; the others hear from peers. */
+    /** Sets whether this node polls the store; other nodes get changes from peers. */
     void setPolling(bool isPolling) { m_isPolling = isPolling; }
-    /** True once after the configuration has changed. */
+    /** Returns whether the configuration has changed since the last call. */
     bool takeChanged() { return std::exchange(m_hasChanged, false); }
-    /** When the store last answered; nothing before that. */
-    std::optional<TimePoint> storeSeen() const { return m_storeSeen; }
+    /** Returns when the store last answered, or nothing if it never did. */
+    std::optional<TimePoint> lastStoreAnswer() const { return m_lastStoreAnswer; }
 
 private:
     enum class Phase {
         Reading,
         Writing,
-        Settling, ///< The write's answer was lost.
+        RetryingWrite, ///< The answer to the write was lost.
     };
     struct Command
     {
         CommandArrived arrived;
         Phase phase = Phase::Reading;
-        TimePoint since {};
+        TimePoint startedAt {};
         Revision base;
         std::int64_t baseModRevision = 0;
         Deployment next;
@@ -89,31 +90,31 @@
         StoreTransaction transaction;
     };
     enum class Purpose {
-        PollHead,
+        PollRevision,
         FetchText,
         ForCommand,
     };
     struct Call
     {
-        Purpose purpose = Purpose::PollHead;
+        Purpose purpose = Purpose::PollRevision;
         CommandNumber command;
     };
     enum class Timer {
         Poll,
-        Settle,
+        RetryWrite,
     };
     using TimerKey = std::pair<Timer, CommandNumber>;
 
     void poll(Turn &turn);
     void fetchText(Turn &turn);
     bool adopt(Turn &turn, Revision revision, const std::string &text);
-    void takeValue(Turn &turn, const StoreEntry &entry);
-    void commandRead(Turn &turn, CommandNumber number, const StoreAnswered &answer);
+    void adoptEntry(Turn &turn, const StoreEntry &entry);
+    void handleBaseRead(Turn &turn, CommandNumber number, const StoreAnswered &answer);
     void write(Turn &turn, CommandNumber number, Command &command);
-    void commandWritten(Turn &turn, CommandNumber number, const StoreAnswered &answer);
-    void commandSettled(Turn &turn, CommandNumber number, const StoreAnswered &answer);
-    void accepted(Turn &turn, CommandNumber number);
-    void lostRace(Turn &turn, CommandNumber number, const std::string &winner);
+    void handleFirstWrite(Turn &turn, CommandNumber number, const StoreAnswered &answer);
+    void handleWriteResult(Turn &turn, CommandNumber number, const StoreAnswered &answer);
+    void acceptCommand(Turn &turn, CommandNumber number);
+    void answerConflict(Turn &turn, CommandNumber number, const std::string &winner);
     void answer(Turn &turn, CommandNumber number, CommandOutcome outcome);
 
     Deployment m_deployment;
@@ -124,7 +125,7 @@
     std::map<StoreCallNumber, Call> m_calls;
     std::optional<PeerCallNumber> m_peerFetch;
     Deadlines<TimerKey> m_timers;
-    std::optional<TimePoint> m_storeSeen;
+    std::optional<TimePoint> m_lastStoreAnswer;
     bool m_isPolling = true;
     bool m_hasChanged = false;
     bool m_isFetching = false;
--- a/src/configuration/deployment.cpp
+++ b/src/configuration/deployment.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 template <typename Map, typename Key>
-const typename Map::mapped_type *find(const Map &map, const Key &key)
+const typename Map::mapped_type *findValue(const Map &map, const Key &key)
 {
     const auto it = map.find(key);
     return it == map.end() ? nullptr : &it->second;
@@ -15,17 +15,17 @@
 
 const Target *Deployment::target(const TargetName &name) const
 {
-    return find(targets, name);
+    return findValue(targets, name);
 }
 
 const Pool *Deployment::pool(const PoolName &name) const
 {
-    return find(pools, name);
+    return findValue(pools, name);
 }
 
 const Server *Deployment::server(const ServerName &name) const
 {
-    return find(servers, name);
+    return findValue(servers, name);
 }
 
 const Target *Deployment::serviceFor(const std::string &path) const
@@ -46,8 +46,8 @@
 {
     std::vector<const Server *> found;
     for (const auto &[name, server] : servers) {
-        const Pool *itsPool = pool(server.pool);
-        if (itsPool && itsPool->role == role && itsPool->target == target) {
+        const Pool *declaredPool = pool(server.pool);
+        if (declaredPool && declaredPool->role == role && declaredPool->target == target) {
             found.push_back(&server);
         }
     }
@@ -57,11 +57,11 @@
 std::optional<Role> Deployment::roleOf(const ServerName &server) const
 {
     const Server *declared = this->server(server);
-    const Pool *itsPool = declared ? pool(declared->pool) : nullptr;
-    if (!itsPool) {
+    const Pool *declaredPool = declared ? pool(declared->pool) : nullptr;
+    if (!declaredPool) {
         return std::nullopt;
     }
-    return itsPool->role;
+    return declaredPool->role;
 }
 
 } // namespace indigoway
--- a/src/configuration/schema.cpp
+++ b/src/configuration/schema.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Empty if the value was taken, else what would be right. */
-using Complaint = std::string;
+/** Empty on success. From read(): which values are valid; from checks: the error message. */
+using ErrorText = std::string;
 
 struct DurationUnit
 {
@@ -26,9 +26,9 @@
     {"s", std::chrono::seconds(1)},
 };
 
-constexpr Duration LongestDuration = std::chrono::hours(24);
+constexpr Duration MaxDuration = std::chrono::hours(24);
 
-Complaint read(const std::string &value, Duration &duration)
+ErrorText read(const std::string &value, Duration &duration)
 {
     std::uint32_t amount = 0;
     const char *end = value.data() + value.size();
@@ -36,7 +36,7 @@
     const std::string suffix(stop, end);
     for (const DurationUnit &unit : DurationUnits) {
         if (error == std::errc {} && suffix == unit.suffix && amount > 0
-            && amount <= LongestDuration / unit.length) {
+            && amount <= MaxDuration / unit.length) {
             duration = unit.length * amount;
             return {};
         }
@@ -45,29 +45,29 @@
 }
 
 template <typename Integer>
-Complaint readInteger(const std::string &value, Integer &number, Integer least, Integer most)
+ErrorText readInteger(const std::string &value, Integer &number, Integer minimum, Integer maximum)
 {
     Integer parsed = 0;
     const char *end = value.data() + value.size();
     const auto [stop, error] = std::from_chars(value.data(), end, parsed);
-    if (error != std::errc {} || stop != end || parsed < least || parsed > most) {
-        return "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+    if (error != std::errc {} || stop != end || parsed < minimum || parsed > maximum) {
+        return "a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum);
     }
     number = parsed;
     return {};
 }
 
-Complaint read(const std::string &value, std::uint32_t &number)
+ErrorText read(const std::string &value, std::uint32_t &number)
 {
     return readInteger<std::uint32_t>(value, number, 0, 100'000'000);
 }
 
-Complaint read(const std::string &value, std::uint64_t &number)
+ErrorText read(const std::string &value, std::uint64_t &number)
 {
     return readInteger<std::uint64_t>(value, number, 0, std::numeric_limits<std::int64_t>::max());
 }
 
-Complaint read(const std::string &value, bool &flag)
+ErrorText read(const std::string &value, bool &flag)
 {
     if (value != "yes" && value != "no") {
         return "yes or no";
@@ -76,14 +76,14 @@
     return {};
 }
 
-Complaint read(const std::string &value, std::string &text)
+ErrorText read(const std::string &value, std::string &text)
 {
     text = value;
     return {};
 }
 
 template <typename Tag>
-Complaint read(const std::string &value, Name<Tag> &name)
+ErrorText read(const std::string &value, Name<Tag> &name)
 {
     name = Name<Tag>(value);
     return {};
@@ -101,11 +101,11 @@
 constexpr EnumWord<ServerState> StateWords[] = {{ServerState::Active, "active"},
                                                 {ServerState::Draining, "draining"},
                                                 {ServerState::Stopped, "stopped"}};
-constexpr EnumWord<LatePolicy> LateWords[] = {{LatePolicy::Refuse, "refuse"},
-                                              {LatePolicy::Finish, "finish"}};
+constexpr EnumWord<LatePolicy> LatePolicyWords[] = {{LatePolicy::Refuse, "refuse"},
+                                                    {LatePolicy::Finish, "finish"}};
 
 template <typename Enum, std::size_t Size>
-Complaint readEnum(const EnumWord<Enum> (&words)[Size], const std::string &value, Enum &result)
+ErrorText readEnum(const EnumWord<Enum> (&words)[Size], const std::string &value, Enum &result)
 {
     std::string known;
     for (const EnumWord<Enum> &word : words) {
@@ -126,17 +126,17 @@
     return it->word;
 }
 
-Complaint read(const std::string &value, Role &role)
+ErrorText read(const std::string &value, Role &role)
 {
     return readEnum(RoleWords, value, role);
 }
-Complaint read(const std::string &value, ServerState &state)
+ErrorText read(const std::string &value, ServerState &state)
 {
     return readEnum(StateWords, value, state);
 }
-Complaint read(const std::string &value, LatePolicy &policy)
+ErrorText read(const std::string &value, LatePolicy &policy)
 {
-    return readEnum(LateWords, value, policy);
+    return readEnum(LatePolicyWords, value, policy);
 }
 
 std::string write(Duration duration)
@@ -174,15 +174,15 @@
 }
 std::string write(LatePolicy policy)
 {
-    return writeEnum(LateWords, policy);
+    return writeEnum(LatePolicyWords, policy);
 }
 
-/** One attribute of an object: how it is read and written. */
+/** Parser and formatter of one attribute of an object. */
 template <typename Object>
 struct Attribute
 {
     std::string name;
-    std::function<Complaint(Object &, const std::string &)> read;
+    std::function<ErrorText(Object &, const std::string &)> read;
     std::function<std::string(const Object &)> write;
 };
 
@@ -267,9 +267,9 @@
                                            const std::vector<Attribute<Object>> &attributes,
                                            const Statement &statement)
 {
-    std::set<std::string> seen;
+    std::set<std::string> given;
     for (const Setting &setting : statement.settings) {
-        if (!seen.insert(setting.attribute).second) {
+        if (!given.insert(setting.attribute).second) {
             return LanguageError {setting.position, setting.attribute + " is given twice"};
         }
         const auto it = std::find_if(attributes.begin(), attributes.end(), [&](const auto &known) {
@@ -281,10 +281,10 @@
                 withHint("a " + statement.kind + " has no attribute " + setting.attribute,
                          nearestWord(setting.attribute, namesOf(attributes)))};
         }
-        const Complaint complaint = it->read(object, setting.value);
-        if (!complaint.empty()) {
+        const ErrorText error = it->read(object, setting.value);
+        if (!error.empty()) {
             return LanguageError {setting.position,
-                                  setting.attribute + " must be " + complaint + ", not "
+                                  setting.attribute + " must be " + error + ", not "
                                       + quoted(setting.value)};
         }
     }
@@ -315,21 +315,22 @@
 }
 
 template <typename Map, typename Object>
-std::optional<LanguageError> applyTo(Map &map, const std::vector<Attribute<Object>> &attributes,
-                                     Object fresh, const Statement &statement)
+std::optional<LanguageError> applyToObject(Map &map,
+                                           const std::vector<Attribute<Object>> &attributes,
+                                           Object defaults, const Statement &statement)
 {
     const typename Map::key_type name(statement.name);
     const auto it = map.find(name);
     if (statement.verb == Verb::Add) {
         if (it != map.end()) {
             return LanguageError {statement.position,
-                                  statement.kind + " " + statement.name + " is there already"};
+                                  statement.kind + " " + statement.name + " already exists"};
         }
-        fresh.name = name;
-        if (auto error = applySettings(fresh, attributes, statement)) {
+        defaults.name = name;
+        if (auto error = applySettings(defaults, attributes, statement)) {
             return error;
         }
-        map.emplace(name, std::move(fresh));
+        map.emplace(name, std::move(defaults));
         return std::nullopt;
     }
     if (it == map.end()) {
@@ -363,17 +364,17 @@
     return std::nullopt;
 }
 
-std::optional<LanguageError> applyOne(Deployment &deployment, const Statement &statement)
+std::optional<LanguageError> applyStatement(Deployment &deployment, const Statement &statement)
 {
     if (statement.verb == Verb::Drain || statement.verb == Verb::Stop
         || statement.verb == Verb::Resume) {
         return applyStateChange(deployment, statement);
     }
     if (statement.kind == "pool") {
-        return applyTo(deployment.pools, poolAttributes(), Pool {}, statement);
+        return applyToObject(deployment.pools, poolAttributes(), Pool {}, statement);
     }
     if (statement.kind == "server") {
-        return applyTo(deployment.servers, serverAttributes(), Server {}, statement);
+        return applyToObject(deployment.servers, serverAttributes(), Server {}, statement);
     }
     const bool isService = statement.kind == "service";
     const Target *existing = deployment.target(TargetName(statement.name));
@@ -382,13 +383,13 @@
                               statement.name + " is a "
                                   + (existing->isService ? "service" : "model")};
     }
-    Target fresh;
-    fresh.isService = isService;
-    return applyTo(deployment.targets, isService ? serviceAttributes() : modelAttributes(), fresh,
-                   statement);
+    Target defaults;
+    defaults.isService = isService;
+    return applyToObject(deployment.targets, isService ? serviceAttributes() : modelAttributes(),
+                         defaults, statement);
 }
 
-bool isAddress(const std::string &address)
+bool isSocketAddress(const std::string &address)
 {
     const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos || colon == 0) {
@@ -403,7 +404,7 @@
         || (host.front() == '[' && host.back() == ']');
 }
 
-Complaint checkPool(const Deployment &deployment, const Pool &pool)
+ErrorText checkPool(const Deployment &deployment, const Pool &pool)
 {
     const Target *target = deployment.target(pool.target);
     if (!target) {
@@ -412,19 +413,20 @@
                         nearestWord(pool.target.text(), keysOf(deployment.targets)));
     }
     if (target->isService != (pool.role == Role::Service)) {
-        return "pool " + pool.name.text() + ": the role does not fit " + target->name.text();
+        return "pool " + pool.name.text() + ": the role does not match the kind of "
+            + target->name.text();
     }
     return {};
 }
 
-Complaint checkServer(const Deployment &deployment, const Server &server)
+ErrorText checkServer(const Deployment &deployment, const Server &server)
 {
     if (!deployment.pool(server.pool)) {
         return withHint("server " + server.name.text() + ": there is no pool "
                             + quoted(server.pool.text()),
                         nearestWord(server.pool.text(), keysOf(deployment.pools)));
     }
-    if (!isAddress(server.address)) {
+    if (!isSocketAddress(server.address)) {
         return "server " + server.name.text() + ": address must be IP:port, not "
             + quoted(server.address);
     }
@@ -434,10 +436,10 @@
     return {};
 }
 
-Complaint checkTarget(const Target &target)
+ErrorText checkTarget(const Target &target)
 {
-    constexpr std::uint32_t LastPriority = 7;
-    if (target.priority > LastPriority) {
+    constexpr std::uint32_t MaxPriority = 7;
+    if (target.priority > MaxPriority) {
         return target.name.text() + ": priority must be from 0 to 7";
     }
     if (target.isService && !target.prefix.starts_with('/')) {
@@ -446,50 +448,50 @@
     return {};
 }
 
-Complaint checkWhole(const Deployment &deployment)
+ErrorText checkDeployment(const Deployment &deployment)
 {
     for (const auto &[name, target] : deployment.targets) {
-        if (Complaint complaint = checkTarget(target); !complaint.empty()) {
-            return complaint;
+        if (ErrorText error = checkTarget(target); !error.empty()) {
+            return error;
         }
     }
     for (const auto &[name, pool] : deployment.pools) {
-        if (Complaint complaint = checkPool(deployment, pool); !complaint.empty()) {
-            return complaint;
+        if (ErrorText error = checkPool(deployment, pool); !error.empty()) {
+            return error;
         }
     }
     for (const auto &[name, server] : deployment.servers) {
-        if (Complaint complaint = checkServer(deployment, server); !complaint.empty()) {
-            return complaint;
+        if (ErrorText error = checkServer(deployment, server); !error.empty()) {
+            return error;
         }
     }
     return {};
 }
 
-/** One line; attributes at their default are left out, so defaults stay in one place. */
+/** Returns the declaration of @p object, without attributes that equal those of @p defaults. */
 template <typename Object>
-std::string declarationOf(const std::string &kind, const Object &object, const Object &fresh,
+std::string declarationOf(const std::string &kind, const Object &object, const Object &defaults,
                           const std::vector<Attribute<Object>> &attributes)
 {
     std::string line = kind + ' ' + object.name.text();
     for (const Attribute<Object> &attribute : attributes) {
         const std::string value = attribute.write(object);
-        if (value != attribute.write(fresh)) {
+        if (value != attribute.write(defaults)) {
             line += ' ' + attribute.name + ' ' + quoted(value);
         }
     }
     return line;
 }
 
-std::vector<std::string> linesOf(const Deployment &deployment)
+std::vector<std::string> declarationLines(const Deployment &deployment)
 {
     std::vector<std::string> lines;
     for (const auto &[name, target] : deployment.targets) {
-        Target fresh;
-        fresh.isService = target.isService;
+        Target defaults;
+        defaults.isService = target.isService;
         lines.push_back(target.isService
-                            ? declarationOf("service", target, fresh, serviceAttributes())
-                            : declarationOf("model", target, fresh, modelAttributes()));
+                            ? declarationOf("service", target, defaults, serviceAttributes())
+                            : declarationOf("model", target, defaults, modelAttributes()));
     }
     for (const auto &[name, pool] : deployment.pools) {
         lines.push_back(declarationOf("pool", pool, Pool {}, poolAttributes()));
@@ -521,14 +523,14 @@
 {
     Deployment next = base;
     for (const Statement &statement : statements) {
-        if (auto error = applyOne(next, statement)) {
+        if (auto error = applyStatement(next, statement)) {
             return *error;
         }
     }
-    const Complaint complaint = checkWhole(next);
-    if (!complaint.empty()) {
+    const ErrorText error = checkDeployment(next);
+    if (!error.empty()) {
         return LanguageError {statements.empty() ? TextPosition {} : statements.back().position,
-                              complaint};
+                              error};
     }
     return next;
 }
@@ -545,7 +547,7 @@
 std::string declarationsOf(const Deployment &deployment)
 {
     std::string text;
-    for (const std::string &line : linesOf(deployment)) {
+    for (const std::string &line : declarationLines(deployment)) {
         text += line + '\n';
     }
     return text;
@@ -553,18 +555,18 @@
 
 std::vector<std::string> differences(const Deployment &from, const Deployment &to)
 {
-    const std::vector<std::string> before = linesOf(from);
-    const std::vector<std::string> after = linesOf(to);
-    const std::set<std::string> had(before.begin(), before.end());
-    const std::set<std::string> has(after.begin(), after.end());
+    const std::vector<std::string> before = declarationLines(from);
+    const std::vector<std::string> after = declarationLines(to);
+    const std::set<std::string> linesBefore(before.begin(), before.end());
+    const std::set<std::string> linesAfter(after.begin(), after.end());
     std::vector<std::string> lines;
     for (const std::string &line : before) {
-        if (!has.contains(line)) {
+        if (!linesAfter.contains(line)) {
             lines.push_back("- " + line);
         }
     }
     for (const std::string &line : after) {
-        if (!had.contains(line)) {
+        if (!linesBefore.contains(line)) {
             lines.push_back("+ " + line);
         }
     }
--- a/src/configuration/schema.h
+++ b/src/configuration/schema.h
@@ -11,25 +11,26 @@
 namespace indigoway {
 
 /**
- * Applies @p statements to @p base, all or none, and checks the whole: pools name declared
- * targets, servers name declared pools, addresses are "IP:port", numbers are in range.
+ * Applies all of @p statements to @p base and validates the result: pools refer to declared
+ * targets, servers to declared pools, addresses are "IP:port", and numbers are in range.
+ * @return the new deployment, or the first error
  */
 std::variant<Deployment, LanguageError> applyStatements(const Deployment &base,
                                                         const Statements &statements);
 
-/** Parses and applies @p text. */
+/** Parses @p text and applies its statements to @p base. */
 std::variant<Deployment, LanguageError> applyText(const Deployment &base, const std::string &text);
 
 /**
- * The deployment as declarations, one object a line, in a fixed order: equal deployments give
- * equal texts, and applying the text to an empty deployment gives an equal one.
+ * Returns @p deployment as declarations, one object a line, in a fixed order. Equal deployments
+ * give equal texts, and applying the text to an empty deployment gives an equal deployment.
  */
 std::string declarationsOf(const Deployment &deployment);
 
-/** Lines that differ, "+ ..." and "- ..." as in a unified diff. */
+/** Returns the declarations that differ, as "+ ..." and "- ..." lines. */
 std::vector<std::string> differences(const Deployment &from, const Deployment &to);
 
-/** "680ms", "5s", "2min" or "150us"; the largest unit that is exact. */
+/** Returns, for example, "680ms", "5s" or "2min": in the largest unit that is exact. */
 std::string durationText(Duration duration);
 
 } // namespace indigoway
--- a/src/core/boottime.h
+++ b/src/core/boottime.h
@@ -8,8 +8,8 @@
 namespace indigoway {
 
 /**
- * Goes on while the machine is suspended, which the steady clock does not count, and never jumps,
- * as the time of day does. For how old something is that others may have changed meanwhile.
+ * A monotonic clock that also counts the time during which the machine is suspended. Measures the
+ * age of data that other processes may have changed in the meantime.
  */
 struct BootClock
 {
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -10,12 +10,12 @@
 
 namespace indigoway {
 
-/** One pending deadline per key; the caller's "now" decides which are due. */
+/** Keeps at most one pending deadline per key. The caller supplies the current time. */
 template <typename Key>
 class Deadlines
 {
 public:
-    /** Replaces the key's earlier deadline. */
+    /** Sets the deadline of @p key and replaces any earlier one. */
     void set(const Key &key, TimePoint at)
     {
         clear(key);
@@ -43,7 +43,7 @@
         return m_order.begin()->first;
     }
 
-    /** Removes and returns the keys due at @p now, earliest first. */
+    /** Removes and returns the keys that are due at @p now, earliest deadline first. */
     std::vector<Key> takeDue(TimePoint now)
     {
         std::vector<Key> due;
@@ -60,7 +60,7 @@
     std::set<std::pair<TimePoint, Key>> m_order;
 };
 
-/** The earlier of two optional times. */
+/** Returns the earlier of two optional times, or nothing if neither is set. */
 inline std::optional<TimePoint> earlier(std::optional<TimePoint> a, std::optional<TimePoint> b)
 {
     if (!a || !b) {
--- a/src/core/ids.cpp
+++ b/src/core/ids.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Number of dot-separated parts after the node name. */
+/** Number of dot-separated numeric parts after the node name. */
 constexpr int NumericParts = 3;
 
 } // namespace
--- a/src/core/jsontext.h
+++ b/src/core/jsontext.h
@@ -8,7 +8,7 @@
 
 namespace indigoway {
 
-/** @p value on one line. */
+/** Returns @p value as JSON on one line. */
 inline std::string jsonText(const Json::Value &value)
 {
     static const Json::StreamWriterBuilder Builder = [] {
@@ -20,10 +20,10 @@
     return Json::writeString(Builder, value);
 }
 
-/** Parses @p text; a null value if it is not JSON or nested too deeply. */
+/** Parses @p text. Returns a null value if it is not valid JSON or nested too deeply. */
 inline Json::Value parseJson(const std::string &text)
 {
-    // One per thread: a reader keeps state while it parses, and experiments run in threads.
+    // One per thread: a reader keeps state while it parses.
     thread_local const std::unique_ptr<Json::CharReader> Reader = [] {
         Json::CharReaderBuilder builder;
         Json::CharReaderBuilder::strictMode(&builder.settings_);
@@ -36,25 +36,25 @@
             return {};
         }
     } catch (const Json::Exception &) {
-        // jsoncpp throws when the nesting goes past its limit.
+        // jsoncpp throws if the nesting exceeds stackLimit.
         return {};
     }
     return value;
 }
 
-/** An unsigned number member of an object, or 0. */
+/** Returns the unsigned integer member @p name of @p object, or 0. */
 inline std::uint64_t numberMember(const Json::Value &object, const char *name)
 {
     return object.isObject() && object[name].isUInt64() ? object[name].asUInt64() : 0;
 }
 
-/** A number member of an object, or 0. */
+/** Returns the numeric member @p name of @p object, or 0. */
 inline double realMember(const Json::Value &object, const char *name)
 {
     return object.isObject() && object[name].isNumeric() ? object[name].asDouble() : 0;
 }
 
-/** A string member of an object, or empty. */
+/** Returns the string member @p name of @p object, or an empty string. */
 inline std::string stringMember(const Json::Value &object, const char *name)
 {
     return object.isObject() && object[name].isString() ? object[name].asString() : std::string();
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -7,16 +7,15 @@
 
 namespace {
 
-/** Marks a peer request that a node made to itself; the rest is the call's number. */
-constexpr std::uint64_t ToSelf = std::uint64_t {1} << 63U;
-/** A node that has seen neither the store nor a peer for this long cannot know that its
- * configuration is still in force. */
-constexpr Duration CutOffAfter = std::chrono::seconds(10);
-/** Waits no longer for its last cancels and records when it leaves. */
-constexpr Duration LongestLeave = std::chrono::minutes(10);
+/** Flags the number of a peer request that a node sent to itself; the other bits are its call. */
+constexpr std::uint64_t LocalRequestFlag = std::uint64_t {1} << 63U;
+/** After this time without contact to the store or a peer, the configuration may be outdated. */
+constexpr Duration IsolationTimeout = std::chrono::seconds(10);
+/** Longest time that a leaving node waits for unfinished requests, cancels and records. */
+constexpr Duration MaxLeaveTime = std::chrono::minutes(10);
 constexpr Duration LeaveCheckInterval = std::chrono::milliseconds(200);
 
-MemberUpdate memberOf(const NodeSettings &settings)
+MemberUpdate selfMember(const NodeSettings &settings)
 {
     MemberUpdate member;
     member.life = settings.life;
@@ -30,7 +29,7 @@
 
 Node::Node(NodeSettings settings)
     : m_settings(std::move(settings))
-    , m_membership(memberOf(m_settings))
+    , m_membership(selfMember(m_settings))
     , m_requests(m_settings.mode, m_settings.policy, m_settings.limits)
 {
     addQueries();
@@ -46,7 +45,7 @@
 Effects Node::start(TimePoint now, std::uint64_t entropy)
 {
     m_now = now;
-    m_peerSeen = now;
+    m_lastPeerContact = now;
     Effects effects;
     {
         Turn turn(now, entropy, m_configuration.deployment(), m_configuration.cells(), m_membership,
@@ -56,10 +55,10 @@
         m_configuration.start(turn);
         m_orders.start(turn);
         for (const MemberUpdate &peer : m_settings.peers) {
-            m_membership.meet(turn, peer);
+            m_membership.contact(turn, peer);
         }
     }
-    deliverToSelf(effects);
+    deliverLocalMessages(effects);
     return effects;
 }
 
@@ -75,8 +74,8 @@
         Turn turn(now, random(), m_configuration.deployment(), m_configuration.cells(),
                   m_membership, m_numbers, effects);
         dispatch(turn, next);
-        settle(turn);
-        deliverToSelf(effects);
+        propagateChanges(turn);
+        deliverLocalMessages(effects);
     }
     return effects;
 }
@@ -121,7 +120,7 @@
 
 void Node::handle(Turn &turn, const RequestArrived &event)
 {
-    if (!m_configuration.isKnown() || isCutOff(turn.now)) {
+    if (!m_configuration.isKnown() || isIsolated(turn.now)) {
         turn.count(Counter::RequestsArrived);
         turn.count(Counter::RequestsRefused);
         turn.add(RefuseRequest {event.request, RefusalReason::ConfigurationUnknown,
@@ -189,7 +188,7 @@
 void Node::handlePeerRequest(Turn &turn, PeerRequestNumber number, const PeerRequest &request)
 {
     if (const auto *ping = std::get_if<Ping>(&request)) {
-        m_peerSeen = turn.now;
+        m_lastPeerContact = turn.now;
         m_membership.handlePing(turn, number, *ping);
     } else if (const auto *onBehalf = std::get_if<PingOnBehalf>(&request)) {
         m_membership.handlePingOnBehalf(turn, number, *onBehalf);
@@ -205,23 +204,23 @@
         m_scheduler.handleAdopt(turn, number, *adopt);
     } else if (const auto *fetch = std::get_if<FetchRows>(&request)) {
         m_queries.handleFetch(turn, number, *fetch);
-    } else if (const auto *which = std::get_if<WhichAreYours>(&request)) {
-        TheseAreMine mine;
-        for (const EngineRequestName &name : which->requests) {
+    } else if (const auto *ownership = std::get_if<WhichAreYours>(&request)) {
+        TheseAreMine owned;
+        for (const EngineRequestName &name : ownership->requests) {
             if (m_requests.owns(name)) {
-                mine.requests.push_back(name);
+                owned.requests.push_back(name);
             }
         }
-        turn.reply(number, std::move(mine));
+        turn.reply(number, std::move(owned));
     }
 }
 
 void Node::handle(Turn &turn, const PeerAnswered &event)
 {
-    // Only a probe's answer is another node's: all other calls may be to this node itself.
+    // Only probes always go to another node; all other calls may be to this node itself.
     const auto *reply = std::get_if<PeerReply>(&event.outcome);
     if (reply && std::holds_alternative<Pong>(*reply)) {
-        m_peerSeen = turn.now;
+        m_lastPeerContact = turn.now;
     }
     m_membership.handleAnswer(turn, event.call, event.outcome)
         || m_configuration.handleAnswer(turn, event.call, event.outcome)
@@ -241,8 +240,8 @@
         m_requests.storeAnswered(turn, event);
         return;
     }
-    for (const MemberUpdate &listed : m_registry.takeListed()) {
-        m_membership.meet(turn, listed);
+    for (const MemberUpdate &listed : m_registry.takeDiscovered()) {
+        m_membership.contact(turn, listed);
     }
 }
 
@@ -262,8 +261,8 @@
         return;
     }
     m_isLeaving = true;
-    m_leavingSince = turn.now;
-    turn.log("leaving");
+    m_leaveStartedAt = turn.now;
+    turn.log("shutdown requested; leaving");
     m_membership.leave(turn);
     m_registry.leave(turn);
 }
@@ -278,24 +277,25 @@
     m_requests.runDue(turn);
 }
 
-/** Follows up what one subsystem's change means for the others. */
-void Node::settle(Turn &turn)
+/** Passes the changes of one subsystem on to the others that depend on them. */
+void Node::propagateChanges(Turn &turn)
 {
-    m_configuration.setPolling(m_registry.holdsPlace());
-    m_configuration.heard(turn, m_membership.heardRevision(), m_membership.heardRevisionFrom());
+    m_configuration.setPolling(m_registry.isRegistered());
+    m_configuration.fetchIfNewer(turn, m_membership.highestPeerRevision(),
+                                 m_membership.highestPeerRevisionSource());
     const bool hasConfigurationChanged = m_configuration.takeChanged();
     if (hasConfigurationChanged) {
         m_membership.setRevision(m_configuration.revision());
     }
-    if (hasConfigurationChanged || m_membersSeen != m_membership.changes()) {
-        m_membersSeen = m_membership.changes();
+    if (hasConfigurationChanged || m_handledMemberChanges != m_membership.changes()) {
+        m_handledMemberChanges = m_membership.changes();
         m_scheduler.reassign(turn);
         m_requests.membersChanged(turn);
     }
     if (hasConfigurationChanged) {
         m_requests.configurationChanged(turn);
     }
-    for (const NodeName &silent : m_membership.takeSilent()) {
+    for (const NodeName &silent : m_membership.takeUnresponsive()) {
         m_requests.schedulerSilent(turn, silent);
     }
     for (const NodeName &doubted : m_requests.takeDoubted()) {
@@ -309,32 +309,34 @@
     if (!m_isLeaving || m_isFinished) {
         return;
     }
-    const Duration leaving = turn.now - m_leavingSince;
-    // Callers use their list of nodes for as long as they were told: until then requests come,
-    // and are served. Refusing them would make the leave visible.
+    const Duration leaving = turn.now - m_leaveStartedAt;
+    // Callers may use a cached node list until it expires, so requests that arrive before that are
+    // still served.
     if (leaving >= m_settings.callersKeepList) {
         m_requests.leave();
     }
     const bool isDone = leaving >= m_settings.callersKeepList && m_requests.unfinished() == 0;
-    if (isDone || leaving >= LongestLeave) {
+    if (isDone || leaving >= MaxLeaveTime) {
         m_isFinished = true;
         turn.add(ShutdownFinished {});
     }
 }
 
-void Node::deliverToSelf(Effects &effects)
+void Node::deliverLocalMessages(Effects &effects)
 {
     Effects kept;
     kept.reserve(effects.size());
     for (Effect &effect : effects) {
         if (auto *send = std::get_if<SendToPeer>(&effect);
             send && send->to == m_settings.life.node) {
-            m_pending.emplace_back(PeerRequestArrived {
-                PeerRequestNumber(send->call.value() | ToSelf), std::move(send->request)});
+            m_pending.emplace_back(
+                PeerRequestArrived {PeerRequestNumber(send->call.value() | LocalRequestFlag),
+                                    std::move(send->request)});
         } else if (auto *reply = std::get_if<ReplyToPeer>(&effect);
-                   reply && (reply->number.value() & ToSelf) != 0) {
-            m_pending.emplace_back(PeerAnswered {PeerCallNumber(reply->number.value() & ~ToSelf),
-                                                 PeerOutcome {std::move(reply->reply)}});
+                   reply && (reply->number.value() & LocalRequestFlag) != 0) {
+            m_pending.emplace_back(
+                PeerAnswered {PeerCallNumber(reply->number.value() & ~LocalRequestFlag),
+                              PeerOutcome {std::move(reply->reply)}});
         } else {
             kept.push_back(std::move(effect));
         }
@@ -342,14 +344,14 @@
     effects = std::move(kept);
 }
 
-bool Node::isCutOff(TimePoint now) const
+bool Node::isIsolated(TimePoint now) const
 {
-    if (!m_registry.hasSeenOthers() && m_membership.presentCount() == 1) {
-        // Nobody else is there through whom operators could have changed anything.
+    if (!m_registry.hasDiscoveredOthers() && m_membership.presentCount() == 1) {
+        // The only node: the configuration cannot have been changed through another one.
         return false;
     }
-    const TimePoint storeSeen = m_configuration.storeSeen().value_or(TimePoint {});
-    return now - std::max(storeSeen, m_peerSeen) > CutOffAfter;
+    const TimePoint lastStoreAnswer = m_configuration.lastStoreAnswer().value_or(TimePoint {});
+    return now - std::max(lastStoreAnswer, m_lastPeerContact) > IsolationTimeout;
 }
 
 } // namespace indigoway
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -20,7 +20,7 @@
 
 namespace indigoway {
 
-/** What a node is told at its start. */
+/** Start-up settings of a node. */
 struct NodeSettings
 {
     NodeLife life;
@@ -30,13 +30,13 @@
     RequestLimits limits;
     PlacementMode mode = PlacementMode::Granted;
     LocalPolicy policy = LocalPolicy::PowerOfTwo;
-    /** Peers known without the store; they are met at the start. */
+    /** Seed peers, contacted at start without asking the store. */
     std::vector<MemberUpdate> peers;
-    /** How long callers may keep the list of nodes; a leaving node waits as long. */
+    /** How long callers may cache the node list; a leaving node serves new requests that long. */
     Duration callersKeepList = std::chrono::seconds(5);
 };
 
-/** An address that callers may use. */
+/** An address at which callers can reach a node. */
 struct CallerAddress
 {
     NodeName node;
@@ -45,8 +45,8 @@
 };
 
 /**
- * One entry VM's node: the reducer over all its events. It neither waits, reads a clock nor
- * draws random numbers; all that goes in is in the arguments, all that comes out is effects.
+ * The node of one entry VM: a deterministic reducer that turns events into effects. It does not
+ * block, read a clock or generate random numbers; time and entropy are passed as arguments.
  */
 class Node
 {
@@ -55,16 +55,17 @@
     Node(const Node &) = delete;
     Node &operator=(const Node &) = delete;
 
-    /** Where this node is reached; known once it listens, and set before start(). */
+    /** Sets the addresses that this node listens on. Must be called before start(). */
     void setAddresses(const std::string &callers, const std::string &peers);
-    /** Must be called once, before any event. */
+    /** Starts all subsystems. Must be called once, before any event. */
     Effects start(TimePoint now, std::uint64_t entropy);
     /**
-     * Takes @p event in at @p now, which must not be before an earlier call's. @p entropy is the
-     * event's own randomness.
+     * Handles @p event and returns the effects to carry out.
+     * @param now time of the event; must not decrease between calls
+     * @param entropy seed of the event's random numbers
      */
     Effects reduce(TimePoint now, std::uint64_t entropy, const Event &event);
-    /** When Tick is wanted at the latest. */
+    /** Returns the time at which the next Tick is due, or nothing if no timer is set. */
     std::optional<TimePoint> nextDeadline() const;
 
     const Configuration &configuration() const { return m_configuration; }
@@ -72,13 +73,14 @@
     const Requests &requests() const { return m_requests; }
     const Scheduler &scheduler() const { return m_scheduler; }
     const Orders &orders() const { return m_orders; }
-    /** Whether callers should be sent here: configuration known and not leaving. */
+    /** Returns whether the node can take requests: its configuration is known and it is not
+     * leaving. */
     bool isReady() const { return m_configuration.isKnown() && !m_isLeaving; }
     bool isLeaving() const { return m_isLeaving; }
     /**
-     * The nodes that callers are to use, best first: @p callerDomain's own, then the others;
-     * within these shuffled by @p entropy, so that callers spread. Leaving and suspected nodes
-     * are left out unless nobody else is there.
+     * Returns the nodes that callers should use, those in @p callerDomain first. Each group is
+     * shuffled with @p entropy to distribute the load. Leaving and suspected nodes are listed only
+     * if no node is alive.
      */
     std::vector<CallerAddress> callerAddresses(const DomainName &callerDomain,
                                                std::uint64_t entropy) const;
@@ -104,10 +106,10 @@
     void handle(Turn &turn, const ShutdownRequested &event);
     void handle(Turn &turn, const Tick &event);
     void handlePeerRequest(Turn &turn, PeerRequestNumber number, const PeerRequest &request);
-    void settle(Turn &turn);
+    void propagateChanges(Turn &turn);
     void checkShutdown(Turn &turn);
-    void deliverToSelf(Effects &effects);
-    bool isCutOff(TimePoint now) const;
+    void deliverLocalMessages(Effects &effects);
+    bool isIsolated(TimePoint now) const;
     void addQueries();
 
     NodeSettings m_settings;
@@ -120,12 +122,12 @@
     Reclaimer m_reclaimer;
     Orders m_orders;
     Queries m_queries;
-    std::deque<Event> m_pending; ///< Messages of this node to itself.
-    std::uint64_t m_membersSeen = 0;
+    std::deque<Event> m_pending; ///< Events to handle, with this node's messages to itself.
+    std::uint64_t m_handledMemberChanges = 0;
     TimePoint m_now {};
-    TimePoint m_peerSeen {};
+    TimePoint m_lastPeerContact {};
     bool m_isLeaving = false;
-    TimePoint m_leavingSince {};
+    TimePoint m_leaveStartedAt {};
     bool m_isFinished = false;
 };
 
--- a/src/core/nodetables.cpp
+++ b/src/core/nodetables.cpp
@@ -2,7 +2,7 @@
 
 #include "configuration/schema.h"
 
-/** @file The tables that operators can ask a node for. */
+/** @file The tables that operators can query. */
 
 namespace indigoway {
 
--- a/src/core/queries.cpp
+++ b/src/core/queries.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr Duration GatherTimeout = std::chrono::milliseconds(800);
-constexpr std::uint32_t MostChanges = 200;
+constexpr Duration PeerQueryTimeout = std::chrono::milliseconds(800);
+constexpr std::uint32_t MaxListedChanges = 200;
 const std::string ChangesKind = "changes";
 
-std::optional<double> numberIn(const std::string &text)
+std::optional<double> parseNumber(const std::string &text)
 {
     double number = 0;
     const char *end = text.data() + text.size();
@@ -24,15 +24,15 @@
     return error == std::errc {} && stop == end ? std::optional(number) : std::nullopt;
 }
 
-/** Numbers by value, all else by text. */
+/** Compares numbers by value and other texts lexicographically. */
 bool isLess(const std::string &a, const std::string &b)
 {
-    const auto x = numberIn(a);
-    const auto y = numberIn(b);
+    const auto x = parseNumber(a);
+    const auto y = parseNumber(b);
     return x && y ? *x < *y : a < b;
 }
 
-bool holds(const Condition &condition, const std::string &value)
+bool isSatisfied(const Condition &condition, const std::string &value)
 {
     switch (condition.comparison) {
     case Comparison::Equal:
@@ -56,7 +56,7 @@
     return static_cast<std::size_t>(it - table.columns.begin());
 }
 
-std::string unknownColumn(const Table &table, const std::string &name)
+std::string unknownColumnMessage(const Table &table, const std::string &name)
 {
     const std::string nearest = nearestWord(name, table.columns);
     return "there is no column " + name
@@ -82,16 +82,17 @@
     for (const Condition &condition : query.conditions) {
         const auto column = columnOf(table, condition.attribute);
         if (!column) {
-            return unknownColumn(table, condition.attribute);
+            return unknownColumnMessage(table, condition.attribute);
         }
-        std::erase_if(table.rows, [&](const auto &row) { return !holds(condition, row[*column]); });
+        std::erase_if(table.rows,
+                      [&](const auto &row) { return !isSatisfied(condition, row[*column]); });
     }
     if (query.sortBy.empty()) {
         return table;
     }
     const auto column = columnOf(table, query.sortBy);
     if (!column) {
-        return unknownColumn(table, query.sortBy);
+        return unknownColumnMessage(table, query.sortBy);
     }
     std::stable_sort(table.rows.begin(), table.rows.end(), [&](const auto &a, const auto &b) {
         return query.isDescending ? isLess(b[*column], a[*column]) : isLess(a[*column], b[*column]);
@@ -113,8 +114,8 @@
     }
     const Query &query = std::get<Query>(parsed);
     if (query.kind == ChangesKind) {
-        m_gatherings[event.command] = {query, {}, {}};
-        m_storeCalls[turn.callStore(StoreGet {storekeys::Changes, true, MostChanges, true})] =
+        m_pendingQueries[event.command] = {query, {}, {}};
+        m_storeCalls[turn.callStore(StoreGet {storekeys::Changes, true, MaxListedChanges, true})] =
             event.command;
         return;
     }
@@ -135,19 +136,19 @@
                  .text());
         return;
     }
-    Gathering &gathering = m_gatherings[event.command];
-    gathering = {query, kind->second.source(turn), {}};
-    if (kind->second.isGathered) {
+    PendingQuery &pending = m_pendingQueries[event.command];
+    pending = {query, kind->second.source(turn), {}};
+    if (kind->second.isDistributed) {
         for (const MemberUpdate *member : turn.members.present()) {
             if (member->life.node == turn.members.life().node) {
                 continue;
             }
-            gathering.missing.insert(member->life.node);
-            m_calls[turn.ask(member->life.node, FetchRows {query.kind}, GatherTimeout)] = {
+            pending.unanswered.insert(member->life.node);
+            m_calls[turn.ask(member->life.node, FetchRows {query.kind}, PeerQueryTimeout)] = {
                 event.command, member->life.node};
         }
     }
-    if (gathering.missing.empty()) {
+    if (pending.unanswered.empty()) {
         finish(turn, event.command);
     }
 }
@@ -167,18 +168,18 @@
     const CommandNumber command = it->second.first;
     const NodeName node = it->second.second;
     m_calls.erase(it);
-    Gathering &gathering = m_gatherings.at(command);
+    PendingQuery &pending = m_pendingQueries.at(command);
     const auto *reply = std::get_if<PeerReply>(&outcome);
     const auto *rows = reply ? std::get_if<Rows>(reply) : nullptr;
-    if (rows && rows->table.columns == gathering.table.columns) {
-        gathering.missing.erase(node);
-        gathering.table.rows.insert(gathering.table.rows.end(), rows->table.rows.begin(),
-                                    rows->table.rows.end());
+    if (rows && rows->table.columns == pending.table.columns) {
+        pending.unanswered.erase(node);
+        pending.table.rows.insert(pending.table.rows.end(), rows->table.rows.begin(),
+                                  rows->table.rows.end());
     }
-    const bool isLast = std::none_of(m_calls.begin(), m_calls.end(), [&](const auto &other) {
+    const bool isComplete = std::none_of(m_calls.begin(), m_calls.end(), [&](const auto &other) {
         return other.second.first == command;
     });
-    if (isLast) {
+    if (isComplete) {
         finish(turn, command);
     }
     return true;
@@ -194,28 +195,27 @@
     m_storeCalls.erase(it);
     const auto *result = std::get_if<StoreResult>(&answer.outcome);
     if (!result) {
-        m_gatherings.erase(command);
+        m_pendingQueries.erase(command);
         fail(turn, command,
-             "the key-value service does not answer; the record of changes is there");
+             "the key-value service does not answer; cannot read the change history");
         return true;
     }
-    m_gatherings.at(command).table = changesTable(*result);
+    m_pendingQueries.at(command).table = changesTable(*result);
     finish(turn, command);
     return true;
 }
 
 void Queries::finish(Turn &turn, CommandNumber command)
 {
-    Gathering gathering = std::move(m_gatherings.at(command));
-    m_gatherings.erase(command);
-    auto result = filtered(gathering.query, std::move(gathering.table));
+    PendingQuery pending = std::move(m_pendingQueries.at(command));
+    m_pendingQueries.erase(command);
+    auto result = filtered(pending.query, std::move(pending.table));
     if (const auto *error = std::get_if<std::string>(&result)) {
         fail(turn, command, *error);
         return;
     }
-    AnswerQuery answer {
-        command, std::get<Table>(std::move(result)), gathering.query.asJson, {}, {}};
-    for (const NodeName &node : gathering.missing) {
+    AnswerQuery answer {command, std::get<Table>(std::move(result)), pending.query.asJson, {}, {}};
+    for (const NodeName &node : pending.unanswered) {
         answer.notes.push_back("no answer from " + node.text());
     }
     turn.add(std::move(answer));
--- a/src/core/turn.h
+++ b/src/core/turn.h
@@ -14,7 +14,7 @@
 class CellMap;
 class Membership;
 
-/** Numbers for the calls that one node makes; unique within its life. */
+/** Generates call numbers that are unique within one incarnation of a node. */
 class CallNumbers
 {
 public:
@@ -29,8 +29,8 @@
 };
 
 /**
- * What a subsystem may use while it handles one event: the time, the event's randomness, the
- * configuration and the member view in force, and the list of effects it adds to.
+ * The context in which a subsystem handles one event: the time, the random numbers, the current
+ * configuration and membership view, and the list that effects are added to.
  */
 class Turn
 {
@@ -57,23 +57,24 @@
     void count(Counter counter, std::uint64_t by = 1) { add(CountUp {counter, by}); }
     void log(std::string what) { add(LogChange {std::move(what)}); }
 
-    /** Calls a peer; PeerAnswered with the returned number follows, once. */
+    /** Calls a peer. Exactly one PeerAnswered event with the returned number follows. */
     PeerCallNumber ask(const NodeName &to, PeerRequest request, Duration timeout);
-    /** Calls a peer at @p address that need not be a member yet. */
+    /** Calls a peer at @p address, which need not be a member yet. */
     PeerCallNumber askAt(const NodeName &to, const std::string &address, PeerRequest request,
                          Duration timeout);
     void reply(PeerRequestNumber number, PeerReply reply)
     {
         add(ReplyToPeer {number, std::move(reply)});
     }
-    /** Calls the store; StoreAnswered with the returned number follows, once. */
+    /** Calls the store. Exactly one StoreAnswered event with the returned number follows. */
     StoreCallNumber callStore(StoreRequest request);
 
+    /** Returns a random number from 0 to @p bound - 1, or 0 if @p bound is 0. */
     std::uint64_t below(std::uint64_t bound)
     {
         return bound < 2 ? 0 : std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(m_random);
     }
-    /** Between half of @p duration and one and a half, so that nodes do not act in step. */
+    /** Returns a random duration from 0.5 to 1.5 times @p duration, to desynchronize the nodes. */
     Duration jittered(Duration duration)
     {
         return duration / 2 + Duration(below(static_cast<std::uint64_t>(duration.count()) + 1));
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -12,16 +12,16 @@
 constexpr Duration ProbeInterval = std::chrono::seconds(1);
 constexpr Duration ProbeTimeout = std::chrono::milliseconds(250);
 constexpr Duration IndirectTimeout = std::chrono::milliseconds(700);
-/** Long enough for a suspected node to hear of it through any peer and to refute it. */
-constexpr Duration SuspicionTime = std::chrono::seconds(3);
-/** Kept so that old gossip cannot bring a dead node back. */
-constexpr Duration DeadKeptFor = std::chrono::minutes(5);
-constexpr int IndirectProbes = 3;
-/** Updates in one message; bounds a message's size whatever the fleet's. */
-constexpr std::size_t MostNewsPerMessage = 8;
+/** Long enough for a suspected node to learn of the suspicion through any peer and refute it. */
+constexpr Duration SuspicionTimeout = std::chrono::seconds(3);
+/** Dead nodes are kept this long so that outdated gossip cannot bring them back. */
+constexpr Duration DeadRetention = std::chrono::minutes(5);
+constexpr int MaxIndirectProbes = 3;
+/** Bounds the size of a message, whatever the number of nodes. */
+constexpr std::size_t MaxUpdatesPerMessage = 8;
 constexpr int TransmissionsPerDoubling = 3;
 
-/** Later lives win, then later versions, then the graver state. */
+/** Orders updates by incarnation, then version, then severity of the state. */
 bool isNewer(const MemberUpdate &a, const MemberUpdate &b)
 {
     return std::tie(a.life.incarnation, a.version, a.state)
@@ -107,7 +107,7 @@
 
 void Membership::start(Turn &turn)
 {
-    publish(m_self);
+    queueGossip(m_self);
     m_timers.set({Timer::ProbeRound, {}}, turn.now + turn.jittered(ProbeInterval));
 }
 
@@ -116,9 +116,9 @@
     m_self.state = MemberState::Leaving;
     ++m_self.version;
     ++m_changes;
-    publish(m_self);
-    // Told at once and to all that a message can reach: waiting for the next probes would let
-    // callers and peers choose this node for some seconds more.
+    queueGossip(m_self);
+    // Sent to all nodes at once: until they learn of it, callers and peers would still choose this
+    // node.
     for (const MemberUpdate *update : present()) {
         if (update != &m_self) {
             sendProbe(turn, *update, std::nullopt);
@@ -126,7 +126,7 @@
     }
 }
 
-void Membership::meet(Turn &turn, const MemberUpdate &listed)
+void Membership::contact(Turn &turn, const MemberUpdate &listed)
 {
     if (listed.life.node == m_self.life.node) {
         return;
@@ -136,21 +136,22 @@
         && known->state != MemberState::Dead) {
         return;
     }
-    const bool isUnderway = std::any_of(m_probes.begin(), m_probes.end(), [&](const auto &entry) {
-        return entry.second.target.life.node == listed.life.node;
-    });
-    if (!isUnderway) {
+    const bool isBeingProbed =
+        std::any_of(m_probes.begin(), m_probes.end(), [&](const auto &entry) {
+            return entry.second.target.life.node == listed.life.node;
+        });
+    if (!isBeingProbed) {
         sendProbe(turn, listed, std::nullopt);
     }
 }
 
 void Membership::probe(Turn &turn, const NodeName &node)
 {
-    const bool isUnderway = std::any_of(m_probes.begin(), m_probes.end(), [&](const auto &entry) {
-        return entry.second.target.life.node == node;
-    });
+    const bool isBeingProbed =
+        std::any_of(m_probes.begin(), m_probes.end(),
+                    [&](const auto &entry) { return entry.second.target.life.node == node; });
     const MemberUpdate *update = member(node);
-    if (isUnderway || !update || update == &m_self || m_indirectProbes.contains(node)) {
+    if (isBeingProbed || !update || update == &m_self || m_indirectProbes.contains(node)) {
         return;
     }
     sendProbe(turn, *update, std::nullopt);
@@ -160,9 +161,9 @@
 {
     apply(turn, ping.from);
     applyAll(turn, ping.updates);
-    hearRevision(ping.revision, ping.from.life.node);
-    Pong pong {m_self, ping.wantsAll ? everything() : takeNews(), m_revision};
-    // A node that others hold for dead must learn of it from whoever it speaks to.
+    noteRevision(ping.revision, ping.from.life.node);
+    Pong pong {m_self, ping.wantsAll ? allUpdates() : takeGossip(), m_revision};
+    // A node that is suspected or declared dead must learn of it to refute it.
     if (const MemberUpdate *known = member(ping.from.life.node);
         known && known != &m_self && known->state != ping.from.state) {
         pong.updates.push_back(*known);
@@ -183,19 +184,19 @@
         const Probe probe = it->second;
         m_probes.erase(it);
         const Pong *pong = reply ? std::get_if<Pong>(reply) : nullptr;
-        // An address can have passed to another node: only the node asked for proves its life.
-        const NodeName &wanted = probe.target.life.node;
-        const bool isAlive = pong && (wanted.isEmpty() || pong->from.life.node == wanted);
+        // The address may now belong to another node, whose answer does not prove the target alive.
+        const NodeName &expected = probe.target.life.node;
+        const bool isAlive = pong && (expected.isEmpty() || pong->from.life.node == expected);
         if (pong) {
             apply(turn, pong->from);
             applyAll(turn, pong->updates);
-            hearRevision(pong->revision, pong->from.life.node);
+            noteRevision(pong->revision, pong->from.life.node);
         }
         if (probe.onBehalfOf) {
             turn.reply(*probe.onBehalfOf, ProbeResult {isAlive});
-        } else if (!isAlive && !wanted.isEmpty()) {
-            m_silent.push_back(wanted);
-            askOthersToProbe(turn, probe.target);
+        } else if (!isAlive && !expected.isEmpty()) {
+            m_unresponsive.push_back(expected);
+            startIndirectProbes(turn, probe.target);
         }
         return true;
     }
@@ -224,7 +225,7 @@
     for (const auto &[timer, node] : m_timers.takeDue(turn.now)) {
         if (timer == Timer::ProbeRound) {
             m_timers.set({Timer::ProbeRound, {}}, turn.now + turn.jittered(ProbeInterval));
-            forgetLongDead(turn.now);
+            removeExpiredDead(turn.now);
             probeNext(turn);
         } else {
             declareDead(turn, node);
@@ -251,17 +252,17 @@
         return;
     }
     if (it == m_members.end() && update.state == MemberState::Dead) {
-        // Remembered without ever having been met: reclaiming asks for the dead as well.
+        // Kept although it was never a member: reclaiming needs to know about dead nodes too.
         m_members[update.life.node] = {update, turn.now};
         return;
     }
     const bool isNewLife = it == m_members.end() || it->second.update.life != update.life;
     const MemberState before = isNewLife ? MemberState::Dead : it->second.update.state;
     m_members[update.life.node] = {update, turn.now};
-    publish(update);
+    queueGossip(update);
     const TimerKey suspicion {Timer::Suspicion, update.life.node};
     if (update.state == MemberState::Suspect) {
-        m_timers.set(suspicion, turn.now + SuspicionTime);
+        m_timers.set(suspicion, turn.now + SuspicionTimeout);
         turn.count(Counter::MembersSuspected);
     } else {
         m_timers.clear(suspicion);
@@ -284,10 +285,10 @@
         || update.state == m_self.state) {
         return;
     }
-    // Others suspect this life, or hold it for dead, or remember that it was to leave.
+    // Peers have a different state for this incarnation; a higher version overrides it.
     m_self.version = update.version + 1;
-    publish(m_self);
-    turn.log("refuted a suspicion of this node");
+    queueGossip(m_self);
+    turn.log("refuted a peer's outdated state of this node");
 }
 
 void Membership::applyAll(Turn &turn, const std::vector<MemberUpdate> &updates)
@@ -297,40 +298,43 @@
     }
 }
 
-void Membership::hearRevision(Revision revision, const NodeName &from)
+void Membership::noteRevision(Revision revision, const NodeName &from)
 {
-    if (revision > m_heardRevision) {
-        m_heardRevision = revision;
-        m_heardRevisionFrom = from;
+    if (revision > m_highestPeerRevision) {
+        m_highestPeerRevision = revision;
+        m_highestPeerRevisionSource = from;
     }
 }
 
-void Membership::publish(const MemberUpdate &update)
+void Membership::queueGossip(const MemberUpdate &update)
 {
-    std::erase_if(m_news,
-                  [&](const News &news) { return news.update.life.node == update.life.node; });
+    std::erase_if(m_gossipQueue, [&](const QueuedUpdate &queued) {
+        return queued.update.life.node == update.life.node;
+    });
     const auto doublings = static_cast<int>(std::bit_width(m_members.size() + 1));
-    m_news.push_back({update, TransmissionsPerDoubling * doublings});
+    m_gossipQueue.push_back({update, TransmissionsPerDoubling * doublings});
 }
 
-std::vector<MemberUpdate> Membership::takeNews()
+std::vector<MemberUpdate> Membership::takeGossip()
 {
-    std::stable_sort(m_news.begin(), m_news.end(), [](const News &a, const News &b) {
-        return a.transmissionsLeft > b.transmissionsLeft;
-    });
+    std::stable_sort(m_gossipQueue.begin(), m_gossipQueue.end(),
+                     [](const QueuedUpdate &a, const QueuedUpdate &b) {
+                         return a.transmissionsLeft > b.transmissionsLeft;
+                     });
     std::vector<MemberUpdate> updates;
-    for (News &news : m_news) {
-        if (updates.size() == MostNewsPerMessage) {
+    for (QueuedUpdate &queued : m_gossipQueue) {
+        if (updates.size() == MaxUpdatesPerMessage) {
             break;
         }
-        updates.push_back(news.update);
-        --news.transmissionsLeft;
+        updates.push_back(queued.update);
+        --queued.transmissionsLeft;
     }
-    std::erase_if(m_news, [](const News &news) { return news.transmissionsLeft <= 0; });
+    std::erase_if(m_gossipQueue,
+                  [](const QueuedUpdate &queued) { return queued.transmissionsLeft <= 0; });
     return updates;
 }
 
-std::vector<MemberUpdate> Membership::everything() const
+std::vector<MemberUpdate> Membership::allUpdates() const
 {
     std::vector<MemberUpdate> updates;
     for (const auto &[name, member] : m_members) {
@@ -366,8 +370,8 @@
                            std::optional<PeerRequestNumber> onBehalfOf)
 {
     const MemberUpdate *known = member(target.life.node);
-    Ping ping {m_self, takeNews(), m_revision, !known};
-    // A suspected node can only refute what it hears of, so the probe itself tells it.
+    Ping ping {m_self, takeGossip(), m_revision, !known};
+    // The probe carries the suspicion, so that the suspected node can refute it.
     if (known && known->state == MemberState::Suspect) {
         ping.updates.push_back(*known);
     }
@@ -376,7 +380,7 @@
     m_probes[call] = {target, 0, false, onBehalfOf};
 }
 
-void Membership::askOthersToProbe(Turn &turn, const MemberUpdate &target)
+void Membership::startIndirectProbes(Turn &turn, const MemberUpdate &target)
 {
     std::vector<NodeName> helpers;
     for (const auto &[name, member] : m_members) {
@@ -385,7 +389,7 @@
         }
     }
     std::shuffle(helpers.begin(), helpers.end(), turn.random());
-    helpers.resize(std::min<std::size_t>(helpers.size(), IndirectProbes));
+    helpers.resize(std::min<std::size_t>(helpers.size(), MaxIndirectProbes));
     Probe probe {target, static_cast<int>(helpers.size()), true, std::nullopt};
     if (helpers.empty()) {
         probeFailed(turn, probe);
@@ -425,11 +429,11 @@
     apply(turn, update);
 }
 
-void Membership::forgetLongDead(TimePoint now)
+void Membership::removeExpiredDead(TimePoint now)
 {
     std::erase_if(m_members, [&](const auto &entry) {
         return entry.second.update.state == MemberState::Dead
-            && now - entry.second.since > DeadKeptFor;
+            && now - entry.second.since > DeadRetention;
     });
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -15,12 +15,12 @@
 class Turn;
 
 /**
- * Which nodes live, by probing and gossip in the manner of SWIM (Das, Gupta, Motivala, 2002):
- * each node probes one other per interval, directly and then through others, and passes news on
- * with the probes, so that a node's traffic does not grow with the fleet.
+ * A failure detector and membership protocol after SWIM (Das, Gupta, Motivala, 2002). Each node
+ * probes one other per interval, first directly and then through other nodes. Updates travel with
+ * the probes, so that a node's traffic does not grow with the number of nodes.
  *
- * The view is soft state and may differ between nodes for some seconds. Nothing that must hold
- * relies on two nodes having the same view.
+ * The view is eventually consistent and may differ between nodes for some seconds. No safety
+ * property relies on two nodes having the same view.
  */
 class Membership
 {
@@ -30,20 +30,20 @@
     const MemberUpdate &self() const { return m_self; }
     NodeLife life() const { return m_self.life; }
 
-    /** Nodes not known to be dead, self included, in name order. */
+    /** Returns the nodes not known to be dead, including this one, in name order. */
     std::vector<const MemberUpdate *> present() const;
-    /** Nodes that may look after a cell: alive or suspected, not leaving. */
+    /** Returns the nodes that can schedule a cell: alive or suspected, but not leaving. */
     std::vector<NodeName> eligible() const;
     std::size_t presentCount() const;
-    /** Where peers connect to @p node; empty if not known. */
+    /** Returns the address at which peers reach @p node, or an empty string if it is unknown. */
     std::string peerAddress(const NodeName &node) const;
-    /** Null if never heard of, or long dead. */
+    /** Returns the latest state of @p node, or null if it is unknown or long dead. */
     const MemberUpdate *member(const NodeName &node) const;
-    /** Whether @p life may still be running: it is this life and not known to be dead. */
+    /** Returns whether @p life is the latest known life of its node and not known to be dead. */
     bool mayLive(const NodeLife &life) const;
-    /** Since when @p life is known to be dead; nothing while it may live. */
+    /** Returns since when @p life has been known to be dead, or nothing while it may be alive. */
     std::optional<TimePoint> deadSince(const NodeLife &life) const;
-    /** Rises with each change of who is eligible or dead. */
+    /** Returns a counter that rises when a node's eligibility changes or it joins or dies. */
     std::uint64_t changes() const { return m_changes; }
 
     void setAddresses(const std::string &callers, const std::string &peers)
@@ -51,34 +51,35 @@
         m_self.callerAddress = callers;
         m_self.peerAddress = peers;
     }
-    /** Begins probing. */
+    /** Starts probing. */
     void start(Turn &turn);
-    /** Tells the others that this node takes nothing new. */
+    /** Announces to the other nodes that this node is leaving. */
     void leave(Turn &turn);
-    /** A node that the store lists; it is pinged unless it is known to live. */
-    void meet(Turn &turn, const MemberUpdate &listed);
-    /** Probes @p node now, out of turn. */
+    /** Pings a node found in the store or the settings, unless it is already a live member. */
+    void contact(Turn &turn, const MemberUpdate &listed);
+    /** Probes @p node at once instead of in a later probe round. */
     void probe(Turn &turn, const NodeName &node);
 
     void handlePing(Turn &turn, PeerRequestNumber number, const Ping &ping);
     void handlePingOnBehalf(Turn &turn, PeerRequestNumber number, const PingOnBehalf &request);
-    /** Returns whether the call was one of this subsystem's. */
+    /** Returns whether @p call was made by this subsystem. */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const;
-    /** The largest revision heard of, with a node that has it. */
-    Revision heardRevision() const { return m_heardRevision; }
-    const NodeName &heardRevisionFrom() const { return m_heardRevisionFrom; }
-    /** Nodes that have just let a direct probe go unanswered; taken once. */
-    std::vector<NodeName> takeSilent() { return std::exchange(m_silent, {}); }
-    /** What this node tells others of its configuration. */
+    /** Returns the highest configuration revision that a peer has announced. */
+    Revision highestPeerRevision() const { return m_highestPeerRevision; }
+    /** Returns the first node that announced highestPeerRevision(). */
+    const NodeName &highestPeerRevisionSource() const { return m_highestPeerRevisionSource; }
+    /** Returns and clears the list of nodes that did not answer a direct probe. */
+    std::vector<NodeName> takeUnresponsive() { return std::exchange(m_unresponsive, {}); }
+    /** Sets the configuration revision that this node announces to others. */
     void setRevision(Revision revision) { m_revision = revision; }
 
 private:
     struct Member
     {
         MemberUpdate update;
-        TimePoint since {}; ///< When the state was last changed here.
+        TimePoint since {}; ///< When this node last changed the entry.
     };
     struct Probe
     {
@@ -87,7 +88,7 @@
         bool isIndirect = false;
         std::optional<PeerRequestNumber> onBehalfOf;
     };
-    struct News
+    struct QueuedUpdate
     {
         MemberUpdate update;
         int transmissionsLeft = 0;
@@ -101,30 +102,30 @@
     void apply(Turn &turn, const MemberUpdate &update);
     void applyToSelf(Turn &turn, const MemberUpdate &update);
     void applyAll(Turn &turn, const std::vector<MemberUpdate> &updates);
-    void hearRevision(Revision revision, const NodeName &from);
-    void publish(const MemberUpdate &update);
-    std::vector<MemberUpdate> takeNews();
-    std::vector<MemberUpdate> everything() const;
+    void noteRevision(Revision revision, const NodeName &from);
+    void queueGossip(const MemberUpdate &update);
+    std::vector<MemberUpdate> takeGossip();
+    std::vector<MemberUpdate> allUpdates() const;
     void probeNext(Turn &turn);
     void sendProbe(Turn &turn, const MemberUpdate &target,
                    std::optional<PeerRequestNumber> onBehalfOf);
-    void askOthersToProbe(Turn &turn, const MemberUpdate &target);
+    void startIndirectProbes(Turn &turn, const MemberUpdate &target);
     void probeFailed(Turn &turn, const Probe &probe);
     void suspect(Turn &turn, const MemberUpdate &target);
     void declareDead(Turn &turn, const NodeName &node);
-    void forgetLongDead(TimePoint now);
+    void removeExpiredDead(TimePoint now);
 
     MemberUpdate m_self;
     Revision m_revision;
-    Revision m_heardRevision;
-    NodeName m_heardRevisionFrom;
+    Revision m_highestPeerRevision;
+    NodeName m_highestPeerRevisionSource;
     std::map<NodeName, Member> m_members;
     std::vector<NodeName> m_probeOrder;
     std::map<PeerCallNumber, Probe> m_probes;
     std::map<NodeName, Probe> m_indirectProbes;
     std::map<PeerCallNumber, NodeName> m_indirectCalls;
-    std::vector<News> m_news;
-    std::vector<NodeName> m_silent;
+    std::vector<QueuedUpdate> m_gossipQueue;
+    std::vector<NodeName> m_unresponsive;
     Deadlines<TimerKey> m_timers;
     std::uint64_t m_changes = 0;
 };
--- a/src/membership/registry.cpp
+++ b/src/membership/registry.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-const std::string Prefix = "/indigoway/nodes/";
+const std::string KeyPrefix = "/indigoway/nodes/";
 constexpr Duration LeaseTime = std::chrono::seconds(15);
 constexpr Duration KeepAliveInterval = std::chrono::seconds(5);
 constexpr Duration ListInterval = std::chrono::seconds(5);
-constexpr Duration ListingIsRecent = std::chrono::seconds(30);
+constexpr Duration MaxListingAge = std::chrono::seconds(30);
 
-std::string placeKey(std::size_t place)
+std::string registrationKey(std::size_t index)
 {
-    return Prefix + std::to_string(place);
+    return KeyPrefix + std::to_string(index);
 }
 
 } // namespace
@@ -59,14 +59,14 @@
 void Registry::leave(Turn &turn)
 {
     m_isLeaving = true;
-    if (!m_place) {
+    if (!m_registration) {
         return;
     }
     StoreTransaction release;
-    release.conditions = {{placeKey(*m_place), 0, memberText(turn.members.self())}};
-    release.deletes = {placeKey(*m_place)};
+    release.conditions = {{registrationKey(*m_registration), 0, memberText(turn.members.self())}};
+    release.deletes = {registrationKey(*m_registration)};
     turn.callStore(release);
-    m_place.reset();
+    m_registration.reset();
 }
 
 bool Registry::storeAnswered(Turn &turn, const StoreAnswered &answer)
@@ -83,27 +83,27 @@
     }
     switch (purpose) {
     case Purpose::List:
-        listed(turn, *result);
+        handleListing(turn, *result);
         break;
     case Purpose::Lease:
         m_lease = result->lease;
-        m_leaseEnds = turn.now + LeaseTime;
-        take(turn);
+        m_leaseExpiresAt = turn.now + LeaseTime;
+        registerSelf(turn);
         break;
     case Purpose::KeepAlive:
         if (result->isApplied) {
-            m_leaseEnds = turn.now + LeaseTime;
+            m_leaseExpiresAt = turn.now + LeaseTime;
         } else {
             m_lease = 0;
-            m_place.reset();
+            m_registration.reset();
         }
         break;
-    case Purpose::Take:
+    case Purpose::Register:
         if (result->isApplied) {
-            m_place = m_wanted;
+            m_registration = m_requestedIndex;
         } else {
-            m_taken.insert(m_wanted);
-            take(turn);
+            m_occupied.insert(m_requestedIndex);
+            registerSelf(turn);
         }
         break;
     }
@@ -114,16 +114,17 @@
 {
     for (const Timer timer : m_timers.takeDue(turn.now)) {
         if (timer == Timer::List) {
-            // Nodes without a place ask the less often the more nodes there are.
+            // Unregistered nodes poll less often the more nodes there are.
             const std::size_t nodes = turn.members.presentCount();
-            const auto factor = holdsPlace() || nodes < Places ? 1 : nodes / Places;
+            const auto factor =
+                isRegistered() || nodes < MaxRegistrations ? 1 : nodes / MaxRegistrations;
             m_timers.set(timer, turn.now + turn.jittered(ListInterval * factor));
             list(turn);
         } else {
             m_timers.set(timer, turn.now + KeepAliveInterval);
-            if (m_lease != 0 && turn.now >= m_leaseEnds) {
+            if (m_lease != 0 && turn.now >= m_leaseExpiresAt) {
                 m_lease = 0;
-                m_place.reset();
+                m_registration.reset();
             }
             if (m_lease != 0) {
                 call(turn, Purpose::KeepAlive, StoreKeepAlive {m_lease});
@@ -134,29 +135,29 @@
 
 std::optional<bool> Registry::lists(TimePoint now, const NodeLife &life) const
 {
-    if (!m_listedAt || now - *m_listedAt > ListingIsRecent) {
+    if (!m_listedAt || now - *m_listedAt > MaxListingAge) {
         return std::nullopt;
     }
-    return m_lives.contains(life);
+    return m_listedLives.contains(life);
 }
 
 void Registry::list(Turn &turn)
 {
-    call(turn, Purpose::List, StoreGet {Prefix, true});
+    call(turn, Purpose::List, StoreGet {KeyPrefix, true});
 }
 
-void Registry::take(Turn &turn)
+void Registry::registerSelf(Turn &turn)
 {
-    if (m_isLeaving || m_place || m_lease == 0 || m_taken.size() >= Places) {
+    if (m_isLeaving || m_registration || m_lease == 0 || m_occupied.size() >= MaxRegistrations) {
         return;
     }
     do {
-        m_wanted = turn.below(Places);
-    } while (m_taken.contains(m_wanted));
+        m_requestedIndex = turn.below(MaxRegistrations);
+    } while (m_occupied.contains(m_requestedIndex));
     StoreTransaction create;
-    create.conditions = {{placeKey(m_wanted), 0, std::nullopt}};
-    create.puts = {{placeKey(m_wanted), memberText(turn.members.self()), m_lease}};
-    call(turn, Purpose::Take, create);
+    create.conditions = {{registrationKey(m_requestedIndex), 0, std::nullopt}};
+    create.puts = {{registrationKey(m_requestedIndex), memberText(turn.members.self()), m_lease}};
+    call(turn, Purpose::Register, create);
 }
 
 void Registry::call(Turn &turn, Purpose purpose, StoreRequest request)
@@ -164,46 +165,46 @@
     m_calls[turn.callStore(std::move(request))] = purpose;
 }
 
-void Registry::listed(Turn &turn, const StoreResult &result)
+void Registry::handleListing(Turn &turn, const StoreResult &result)
 {
-    m_taken.clear();
-    m_lives.clear();
-    m_listed.clear();
+    m_occupied.clear();
+    m_listedLives.clear();
+    m_discovered.clear();
     m_listedAt = turn.now;
     bool isListed = false;
     for (const StoreEntry &entry : result.entries) {
         const auto member = parseMember(entry.value);
-        std::size_t place = 0;
+        std::size_t index = 0;
         try {
-            place = std::stoul(entry.key.substr(Prefix.size()));
+            index = std::stoul(entry.key.substr(KeyPrefix.size()));
         } catch (const std::exception &) {
             continue;
         }
-        m_taken.insert(place);
+        m_occupied.insert(index);
         if (!member) {
             continue;
         }
-        m_lives.insert(member->life);
+        m_listedLives.insert(member->life);
         if (member->life == turn.members.life()) {
-            // Taken by a write whose answer was lost, or still held.
-            m_place = place;
+            // Still registered, or registered by a write whose answer was lost.
+            m_registration = index;
             isListed = true;
         } else if (member->life.node != turn.members.life().node) {
-            m_hasSeenOthers = true;
-            m_listed.push_back(*member);
+            m_hasDiscoveredOthers = true;
+            m_discovered.push_back(*member);
         }
     }
     if (m_isLeaving || isListed) {
         return;
     }
-    m_place.reset();
-    if (m_taken.size() >= Places) {
+    m_registration.reset();
+    if (m_occupied.size() >= MaxRegistrations) {
         return;
     }
     if (m_lease == 0) {
         call(turn, Purpose::Lease, StoreGrantLease {LeaseTime});
     } else {
-        take(turn);
+        registerSelf(turn);
     }
 }
 
--- a/src/membership/registry.h
+++ b/src/membership/registry.h
@@ -16,37 +16,37 @@
 class Turn;
 
 /**
- * Where nodes find each other: a bounded number of places in the store, each held by a node
- * under a lease. A node that holds a place also asks the store for the configuration. All other
- * nodes hear of both from peers, so that the store's calls do not grow with the fleet.
+ * Node discovery through the store. A bounded number of nodes is registered there, each under a
+ * lease; registered nodes also poll the store for the configuration. All other nodes learn of both
+ * from peers, so that the load of the store does not grow with the number of nodes.
  */
 class Registry
 {
 public:
-    /** Places in the store; at today's sizes every node holds one. */
-    static constexpr std::size_t Places = 16;
+    /** Number of registration keys in the store. */
+    static constexpr std::size_t MaxRegistrations = 16;
 
     void start(Turn &turn);
-    /** Gives the place up. */
+    /** Removes this node's registration. */
     void leave(Turn &turn);
-    /** Returns whether the call was one of this subsystem's. */
+    /** Returns whether @p answer belongs to a call of this subsystem. */
     bool storeAnswered(Turn &turn, const StoreAnswered &answer);
     void runDue(Turn &turn);
     std::optional<TimePoint> nextDeadline() const { return m_timers.next(); }
-    bool holdsPlace() const { return m_place.has_value(); }
-    /** Nodes of the latest listing that are to be met; taken once. */
-    std::vector<MemberUpdate> takeListed() { return std::exchange(m_listed, {}); }
-    /** Whether the latest listing had @p life; nothing if no listing is recent. */
+    bool isRegistered() const { return m_registration.has_value(); }
+    /** Returns and clears the other nodes found by the latest listing. */
+    std::vector<MemberUpdate> takeDiscovered() { return std::exchange(m_discovered, {}); }
+    /** Returns whether the latest listing contains @p life, or nothing if it is too old. */
     std::optional<bool> lists(TimePoint now, const NodeLife &life) const;
-    /** Whether any listing has ever shown another node. */
-    bool hasSeenOthers() const { return m_hasSeenOthers; }
+    /** Returns whether any listing has ever contained another node. */
+    bool hasDiscoveredOthers() const { return m_hasDiscoveredOthers; }
 
 private:
     enum class Purpose {
         Lease,
         KeepAlive,
         List,
-        Take,
+        Register,
     };
     enum class Timer {
         List,
@@ -54,27 +54,27 @@
     };
 
     void list(Turn &turn);
-    void take(Turn &turn);
+    void registerSelf(Turn &turn);
     void call(Turn &turn, Purpose purpose, StoreRequest request);
-    void listed(Turn &turn, const StoreResult &result);
+    void handleListing(Turn &turn, const StoreResult &result);
 
     std::map<StoreCallNumber, Purpose> m_calls;
     Deadlines<Timer> m_timers;
     std::int64_t m_lease = 0;
-    TimePoint m_leaseEnds {};
-    std::optional<std::size_t> m_place;
-    std::size_t m_wanted = 0; ///< The place that was asked for.
-    std::set<std::size_t> m_taken;
-    std::set<NodeLife> m_lives;
+    TimePoint m_leaseExpiresAt {};
+    std::optional<std::size_t> m_registration;
+    std::size_t m_requestedIndex = 0; ///< Index of the pending registration.
+    std::set<std::size_t> m_occupied;
+    std::set<NodeLife> m_listedLives;
     std::optional<TimePoint> m_listedAt;
-    std::vector<MemberUpdate> m_listed;
-    bool m_hasSeenOthers = false;
+    std::vector<MemberUpdate> m_discovered;
+    bool m_hasDiscoveredOthers = false;
     bool m_isLeaving = false;
 };
 
-/** A member as the store and the peers' protocol carry it. */
+/** Returns @p member as JSON, in the form used in the store. */
 std::string memberText(const MemberUpdate &member);
-/** Nothing if @p text is not a member. */
+/** Parses the result of memberText(). Returns nothing if @p text is invalid. */
 std::optional<MemberUpdate> parseMember(const std::string &text);
 
 } // namespace indigoway
--- a/tests/configuration/schematest.cpp
+++ b/tests/configuration/schematest.cpp
@@ -24,8 +24,8 @@
                         [](int ms) { return Duration(std::chrono::milliseconds(ms)); });
 }
 
-/** Any deployment that the rules allow. */
-Deployment anyDeployment()
+/** Returns a random valid deployment. */
+Deployment arbitraryDeployment()
 {
     Deployment deployment;
     for (const std::string &name :
@@ -85,17 +85,17 @@
 class SchemaTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SchemaTest);
-    CPPUNIT_TEST(whatIsExportedIsWhatWasApplied);
-    CPPUNIT_TEST(anyTextIsAppliedOrRefused);
-    CPPUNIT_TEST(refusesWithPlaceAndNearestName);
-    CPPUNIT_TEST(commandsAreAllOrNone);
-    CPPUNIT_TEST(theExamplesAreValid);
+    CPPUNIT_TEST(exportRoundTrips);
+    CPPUNIT_TEST(anyTextIsParsedOrRejected);
+    CPPUNIT_TEST(errorsNamePositionAndNearestName);
+    CPPUNIT_TEST(commandsAreAtomic);
+    CPPUNIT_TEST(examplesAreValid);
     CPPUNIT_TEST_SUITE_END();
 
-    void whatIsExportedIsWhatWasApplied()
+    void exportRoundTrips()
     {
         const bool isOk = rc::check("export and apply changes nothing", [] {
-            const Deployment deployment = anyDeployment();
+            const Deployment deployment = arbitraryDeployment();
             const std::string text = declarationsOf(deployment);
             const auto applied = applyText({}, text);
             RC_ASSERT(std::holds_alternative<Deployment>(applied));
@@ -106,18 +106,18 @@
         CPPUNIT_ASSERT(isOk);
     }
 
-    // Whatever an operator types, the parser answers; it must not throw or hang.
-    void anyTextIsAppliedOrRefused()
+    // The parser must not throw or hang on any input.
+    void anyTextIsParsedOrRejected()
     {
-        const bool isOk = rc::check("any text", [](const std::string &noise) {
-            applyText({}, noise);
-            applyText({}, "model m " + noise);
-            parseQuery("show " + noise);
+        const bool isOk = rc::check("any text", [](const std::string &input) {
+            applyText({}, input);
+            applyText({}, "model m " + input);
+            parseQuery("show " + input);
         });
         CPPUNIT_ASSERT(isOk);
     }
 
-    void refusesWithPlaceAndNearestName()
+    void errorsNamePositionAndNearestName()
     {
         CPPUNIT_ASSERT_EQUAL(
             std::string("line 1, column 9: a model has no attribute frist-token; did you mean "
@@ -135,7 +135,7 @@
                              errorOf("drain server x"));
     }
 
-    void commandsAreAllOrNone()
+    void commandsAreAtomic()
     {
         const auto base = std::get<Deployment>(applyText({},
                                                          "model m\npool p role decode target m\n"
@@ -148,7 +148,7 @@
         CPPUNIT_ASSERT(base.server(ServerName("s"))->state == ServerState::Active);
     }
 
-    void theExamplesAreValid()
+    void examplesAreValid()
     {
         for (const char *name : {"lista-viva", "kopje"}) {
             std::ifstream file("examples/" + std::string(name) + "/deployment.indigoway");
--- a/tests/core/promisestest.cpp
+++ b/tests/core/promisestest.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::size_t Nodes = 4;
 
-/** One thing that happens in a random story. */
-enum class Step {
+/** The kinds of steps in a random run. */
+enum class Action {
     SendModel,
     SendOnce,
     SendOnceAgain,
@@ -43,16 +43,16 @@
     Size,
 };
 
-struct Happening
+struct Step
 {
-    Step step = Step::Wait;
+    Action action = Action::Wait;
     std::uint32_t a = 0;
     std::uint32_t b = 0;
 };
 
-std::ostream &operator<<(std::ostream &out, const Happening &one)
+std::ostream &operator<<(std::ostream &out, const Step &step)
 {
-    return out << '{' << static_cast<int>(one.step) << ',' << one.a << ',' << one.b << '}';
+    return out << '{' << static_cast<int>(step.action) << ',' << step.a << ',' << step.b << '}';
 }
 
 } // namespace
@@ -60,19 +60,19 @@
 namespace rc {
 
 template <>
-struct Arbitrary<Happening>
+struct Arbitrary<Step>
 {
-    static Gen<Happening> arbitrary()
+    static Gen<Step> arbitrary()
     {
-        return gen::build<Happening>(
-            // Requests are drawn more often than faults: faults need work to disturb.
-            gen::set(&Happening::step,
-                     gen::oneOf(gen::map(gen::inRange(0, static_cast<int>(Step::Size)),
-                                         [](int i) { return static_cast<Step>(i); }),
-                                gen::element(Step::SendModel, Step::SendOnce, Step::SendOnceAgain,
-                                             Step::Wait, Step::Wait))),
-            gen::set(&Happening::a, gen::inRange<std::uint32_t>(0, 1000)),
-            gen::set(&Happening::b, gen::inRange<std::uint32_t>(0, 1000)));
+        return gen::build<Step>(
+            // Requests are drawn more often than faults, so that faults hit running requests.
+            gen::set(&Step::action,
+                     gen::oneOf(gen::map(gen::inRange(0, static_cast<int>(Action::Size)),
+                                         [](int i) { return static_cast<Action>(i); }),
+                                gen::element(Action::SendModel, Action::SendOnce,
+                                             Action::SendOnceAgain, Action::Wait, Action::Wait))),
+            gen::set(&Step::a, gen::inRange<std::uint32_t>(0, 1000)),
+            gen::set(&Step::b, gen::inRange<std::uint32_t>(0, 1000)));
     }
 };
 
@@ -80,11 +80,11 @@
 
 namespace {
 
-/** Plays a story over four nodes and holds the promises against it. */
-class Story
+/** Applies random steps to four nodes and checks the invariants. */
+class RandomRun
 {
 public:
-    explicit Story(std::uint64_t seed)
+    explicit RandomRun(std::uint64_t seed)
         : m_world(settings(seed))
     {
         addSmallDeployment(m_world, {});
@@ -92,94 +92,94 @@
         m_world.run(8s);
     }
 
-    void play(const Happening &one)
+    void apply(const Step &step)
     {
-        const std::size_t node = one.a % Nodes;
+        const std::size_t node = step.a % Nodes;
         const std::vector<std::string> engines = m_world.engineNames();
-        const std::string &engine = engines[one.b % engines.size()];
-        switch (one.step) {
-        case Step::SendModel:
-            m_world.submit(node, modelRequest(100 + one.b * 5, 1 + one.a % 60));
+        const std::string &engine = engines[step.b % engines.size()];
+        switch (step.action) {
+        case Action::SendModel:
+            m_world.submit(node, modelRequest(100 + step.b * 5, 1 + step.a % 60));
             break;
-        case Step::SendOnce:
+        case Action::SendOnce:
             m_keys.push_back("key-" + std::to_string(m_keys.size()));
-            m_world.submit(node, onceRequest(m_keys.back(), 100 + one.b, 1 + one.a % 40));
+            m_world.submit(node, onceRequest(m_keys.back(), 100 + step.b, 1 + step.a % 40));
             break;
-        case Step::SendOnceAgain:
+        case Action::SendOnceAgain:
             if (!m_keys.empty()) {
-                m_world.submit(node, onceRequest(m_keys[one.b % m_keys.size()], 100, 10));
+                m_world.submit(node, onceRequest(m_keys[step.b % m_keys.size()], 100, 10));
             }
             break;
-        case Step::SendService:
+        case Action::SendService:
             m_world.submit(node, serviceRequest());
             break;
-        case Step::CallerLeaves:
+        case Action::CallerLeaves:
             if (!m_world.callers().empty()) {
-                m_world.callerLeaves(one.b % m_world.callers().size());
+                m_world.callerLeaves(step.b % m_world.callers().size());
             }
             break;
-        case Step::KillNode:
+        case Action::KillNode:
             m_world.killNode(node);
             break;
-        case Step::StartNode:
+        case Action::StartNode:
             if (!m_world.isUp(node)) {
                 m_world.startNode(node);
             }
             break;
-        case Step::FreezeNode:
+        case Action::FreezeNode:
             m_world.freezeNode(node);
             break;
-        case Step::ThawNode:
+        case Action::ThawNode:
             m_world.thawNode(node);
             break;
-        case Step::LeaveNode:
+        case Action::LeaveNode:
             m_world.leaveNode(node);
             break;
-        case Step::KillEngine:
+        case Action::KillEngine:
             m_world.engine(engine).kill();
             break;
-        case Step::RestartEngine:
+        case Action::RestartEngine:
             m_world.engine(engine).restart();
             break;
-        case Step::FreezeEngine:
+        case Action::FreezeEngine:
             m_world.engine(engine).freeze();
             break;
-        case Step::ThawEngine:
+        case Action::ThawEngine:
             m_world.engine(engine).thaw();
             break;
-        case Step::BreakStreams:
+        case Action::BreakStreams:
             m_world.engine(engine).breakStreams();
             break;
-        case Step::StallTransfers:
-            m_world.engine(engine).setStallsTransfers(one.a % 2 == 0);
+        case Action::StallTransfers:
+            m_world.engine(engine).setStallsTransfers(step.a % 2 == 0);
             break;
-        case Step::StoreAway:
+        case Action::StoreAway:
             m_world.setStoreAway(true);
             break;
-        case Step::StoreBack:
+        case Action::StoreBack:
             m_world.setStoreAway(false);
             break;
-        case Step::DropStoreAnswers:
-            m_world.dropStoreAnswers(1 + static_cast<int>(one.a % 3));
+        case Action::DropStoreAnswers:
+            m_world.dropStoreAnswers(1 + static_cast<int>(step.a % 3));
             break;
-        case Step::CutNodes:
-            m_world.cut(node, one.b % Nodes);
+        case Action::CutNodes:
+            m_world.cut(node, step.b % Nodes);
             break;
-        case Step::HealNetwork:
+        case Action::HealNetwork:
             m_world.heal();
             break;
-        case Step::DrainServer:
-            m_world.command(node, (one.a % 2 == 0 ? "drain server " : "resume server ") + engine);
+        case Action::DrainServer:
+            m_world.command(node, (step.a % 2 == 0 ? "drain server " : "resume server ") + engine);
             break;
-        case Step::Wait:
-        case Step::Size:
-            m_world.run(std::chrono::milliseconds(one.a * 4));
+        case Action::Wait:
+        case Action::Size:
+            m_world.run(std::chrono::milliseconds(step.a * 4));
             break;
         }
         m_world.run(std::chrono::milliseconds(20));
     }
 
-    /** All faults end; after a while everything must have ended and be free. */
+    /** Ends all faults and lets the remaining requests finish. */
     void settle()
     {
         m_world.heal();
@@ -219,7 +219,7 @@
         for (const CallerView &view : m_world.callers()) {
             const bool hasEnded = view.ends == 1 || view.isLost || view.isGone;
             if (!hasEnded) {
-                RC_FAIL("a request has no end");
+                RC_FAIL("a request has not ended");
             }
         }
         for (const std::string &name : m_world.engineNames()) {
@@ -236,7 +236,7 @@
         }
     }
 
-    /** The nodes' states, for a failure's message. */
+    /** Returns the states of the nodes for a failure message. */
     std::string describe()
     {
         std::string text;
@@ -285,25 +285,23 @@
 class PromisesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PromisesTest);
-    CPPUNIT_TEST(holdInRandomStories);
+    CPPUNIT_TEST(holdUnderRandomFaults);
     CPPUNIT_TEST_SUITE_END();
 
-    // Requests of all kinds, callers who leave and callers who send the same key again, while
-    // nodes and engines die, freeze and wake, links are cut, messages are lost and doubled, and
-    // the store goes away and loses answers; in any order. After each step: no request ends
-    // twice or with a part, nothing refused as "not executed" was run, no key runs twice. Once
-    // the faults are over: every request has ended, and no engine or scheduler holds anything.
-    void holdInRandomStories()
+    // Under random faults, no request may end twice or incomplete, run after it was refused as "not
+    // executed", or run twice with one key. After the faults, all requests end and free their
+    // capacity.
+    void holdUnderRandomFaults()
     {
         const bool isOk =
-            rc::check("promises", [](std::uint16_t seed, const std::vector<Happening> &happenings) {
-                Story story(seed);
-                for (const Happening &one : happenings) {
-                    story.play(one);
-                    story.check();
+            rc::check("promises", [](std::uint16_t seed, const std::vector<Step> &steps) {
+                RandomRun run(seed);
+                for (const Step &step : steps) {
+                    run.apply(step);
+                    run.check();
                 }
-                story.settle();
-                story.checkSettled();
+                run.settle();
+                run.checkSettled();
             });
         CPPUNIT_ASSERT(isOk);
     }
--- a/tests/core/queriestest.cpp
+++ b/tests/core/queriestest.cpp
@@ -12,9 +12,9 @@
 {
     CPPUNIT_TEST_SUITE(QueriesTest);
     CPPUNIT_TEST(filtersAndSorts);
-    CPPUNIT_TEST(namesTheNearestTableAndColumn);
-    CPPUNIT_TEST(saysWhichNodesDidNotAnswer);
-    CPPUNIT_TEST(theRecordOfChangesSurvivesAllNodes);
+    CPPUNIT_TEST(suggestsNearestTableAndColumn);
+    CPPUNIT_TEST(listsNodesThatDidNotAnswer);
+    CPPUNIT_TEST(changeHistorySurvivesReplacementOfAllNodes);
     CPPUNIT_TEST_SUITE_END();
 
     static Query queryOf(const std::string &text) { return std::get<Query>(parseQuery(text)); }
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("b"), rows[1][0]);
     }
 
-    void namesTheNearestTableAndColumn()
+    void suggestsNearestTableAndColumn()
     {
         const Table table {{"name", "age"}, {}};
         const auto result = filtered(queryOf("show t where nmae = x"), table);
@@ -39,33 +39,32 @@
         fakes::addSmallDeployment(world, {});
         world.startAll();
         world.run(8s);
-        const std::size_t asked = world.query(0, "show sevrers");
+        const std::size_t query = world.query(0, "show sevrers");
         world.run(1s);
         CPPUNIT_ASSERT_EQUAL(
             std::string("line 1, column 6: there is no table sevrers; did you mean servers?"),
-            world.commandView(asked).answer->error);
+            world.commandView(query).answer->error);
     }
 
-    // An operator asks what runs while a node hangs. The answer comes all the same, with what the
-    // others have, and says whose part is missing.
-    void saysWhichNodesDidNotAnswer()
+    // A node that hangs must not block a query: the answer has the rows of the other nodes and
+    // names the missing one.
+    void listsNodesThatDidNotAnswer()
     {
         fakes::World world {{}};
         fakes::addSmallDeployment(world, {});
         world.startAll();
         world.run(8s);
         world.freezeNode(2);
-        const std::size_t asked = world.query(0, "show nodes");
+        const std::size_t query = world.query(0, "show nodes");
         world.run(2s);
-        const auto &answer = world.commandView(asked).answer;
+        const auto &answer = world.commandView(query).answer;
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, answer->table.rows.size());
         CPPUNIT_ASSERT_EQUAL(std::string("no answer from n2"), answer->notes.at(0));
     }
 
-    // All entry VMs are replaced, as happens within a day. Who changed what must still be there:
-    // the record lies in the store, written in the transaction of the change itself.
-    void theRecordOfChangesSurvivesAllNodes()
+    // The change history must survive the replacement of all entry VMs.
+    void changeHistorySurvivesReplacementOfAllNodes()
     {
         fakes::World world {{}};
         fakes::addSmallDeployment(world, {});
@@ -79,9 +78,9 @@
         world.run(60s);
         world.startAll();
         world.run(8s);
-        const std::size_t asked = world.query(3, "show changes");
+        const std::size_t query = world.query(3, "show changes");
         world.run(1s);
-        const auto &rows = world.commandView(asked).answer->table.rows;
+        const auto &rows = world.commandView(query).answer->table.rows;
         CPPUNIT_ASSERT_EQUAL(std::size_t {1}, rows.size());
         CPPUNIT_ASSERT_EQUAL(std::string("2"), rows[0][0]);
         CPPUNIT_ASSERT_EQUAL(std::string("ada"), rows[0][3]);
--- a/tests/scenarios/scenario.cpp
+++ b/tests/scenarios/scenario.cpp
@@ -108,49 +108,61 @@
     if (unit == "min") {
         return std::chrono::minutes(amount);
     }
-    throw Failure("no duration: " + text);
+    throw Failure("invalid duration: " + text);
 }
 
-class Player
+class ScenarioRunner
 {
 public:
     void play(const Step &step)
     {
         const std::vector<std::string> &words = step.words;
-        static const std::map<std::string, void (Player::*)(const std::vector<std::string> &)>
+        static const std::map<std::string,
+                              void (ScenarioRunner::*)(const std::vector<std::string> &)>
             Steps {
-                {"nodes", &Player::setNodes},     {"model", &Player::setModel},
-                {"slots", &Player::setSlots},     {"send", &Player::send},
-                {"wait", &Player::wait},          {"expect", &Player::expect},
-                {"kill", &Player::kill},          {"restart", &Player::restart},
-                {"start", &Player::start},        {"leave", &Player::leave},
-                {"freeze", &Player::freeze},      {"thaw", &Player::thaw},
-                {"break", &Player::breakStreams}, {"stall", &Player::stall},
-                {"unstall", &Player::unstall},    {"slow", &Player::slow},
-                {"store", &Player::store},        {"cut", &Player::cut},
-                {"heal", &Player::heal},          {"caller", &Player::caller},
-                {"command", &Player::command},    {"ignores-fencing", &Player::ignoresFencing},
-                {"version", &Player::setVersion},
+                {"nodes", &ScenarioRunner::setNodes},
+                {"model", &ScenarioRunner::setModel},
+                {"slots", &ScenarioRunner::setSlots},
+                {"send", &ScenarioRunner::send},
+                {"wait", &ScenarioRunner::wait},
+                {"expect", &ScenarioRunner::expect},
+                {"kill", &ScenarioRunner::kill},
+                {"restart", &ScenarioRunner::restart},
+                {"start", &ScenarioRunner::start},
+                {"leave", &ScenarioRunner::leave},
+                {"freeze", &ScenarioRunner::freeze},
+                {"thaw", &ScenarioRunner::thaw},
+                {"break", &ScenarioRunner::breakStreams},
+                {"stall", &ScenarioRunner::stall},
+                {"unstall", &ScenarioRunner::unstall},
+                {"slow", &ScenarioRunner::slow},
+                {"store", &ScenarioRunner::store},
+                {"cut", &ScenarioRunner::cut},
+                {"heal", &ScenarioRunner::heal},
+                {"caller", &ScenarioRunner::caller},
+                {"command", &ScenarioRunner::command},
+                {"ignores-fencing", &ScenarioRunner::ignoresFencing},
+                {"version", &ScenarioRunner::setVersion},
             };
         const auto it = Steps.find(words.front());
         if (it == Steps.end()) {
-            throw Failure("no such step: " + words.front());
+            throw Failure("unknown step: " + words.front());
         }
         const bool isSetting =
             words.front() == "nodes" || words.front() == "model" || words.front() == "slots";
         if (!isSetting) {
-            begin();
+            startWorld();
         }
         (this->*it->second)(words);
         if (m_world && !m_world->breaches().empty()) {
-            throw Failure("a promise is broken: " + m_world->breaches().front());
+            throw Failure("invariant violated: " + m_world->breaches().front());
         }
     }
 
-    /** All must have come to rest by itself, whatever was done. */
+    /** Ends all faults, then checks that every request has ended and no engine holds any. */
     void finish()
     {
-        begin();
+        startWorld();
         m_world->heal();
         for (const std::string &name : m_world->engineNames()) {
             m_world->engine(name).setStallsTransfers(false);
@@ -169,18 +181,18 @@
         for (const auto &[name, number] : m_requests) {
             const fakes::CallerView &view = m_world->callers()[number];
             if (view.ends != 1 && !view.isLost && !view.isGone) {
-                throw Failure("at the end " + name + " has no answer");
+                throw Failure("at the end request " + name + " has no answer");
             }
         }
         if (!m_world->breaches().empty()) {
-            throw Failure("a promise is broken: " + m_world->breaches().front());
+            throw Failure("invariant violated: " + m_world->breaches().front());
         }
     }
 
 private:
     using Words = std::vector<std::string>;
 
-    void begin()
+    void startWorld()
     {
         if (m_world) {
             return;
@@ -196,7 +208,7 @@
     const std::string &at(const Words &words, std::size_t index) const
     {
         if (index >= words.size()) {
-            throw Failure("the step is too short");
+            throw Failure("the step has too few arguments");
         }
         return words[index];
     }
@@ -219,7 +231,7 @@
             throw Failure("no node schedules the model");
         }
         if (name == "former") {
-            return m_former;
+            return m_lastAffectedNode;
         }
         if (name == "other") {
             for (std::size_t i = 0; i < m_world->nodeCount(); ++i) {
@@ -236,7 +248,7 @@
     {
         const auto it = m_requests.find(name);
         if (it == m_requests.end()) {
-            throw Failure("no request is called " + name);
+            throw Failure("unknown request: " + name);
         }
         return m_world->callers()[it->second];
     }
@@ -278,7 +290,7 @@
         const TimePoint end = m_world->now() + durationOf(words.back());
         while (!holds(condition)) {
             if (m_world->now() >= end) {
-                throw Failure("in vain: " + describe(condition));
+                throw Failure("condition not met in time: " + describe(condition));
             }
             m_world->run(1ms);
         }
@@ -288,7 +300,7 @@
     {
         const Words condition(words.begin() + 1, words.end());
         if (!holds(condition)) {
-            throw Failure("not so: " + describe(condition));
+            throw Failure("condition not met: " + describe(condition));
         }
     }
 
@@ -318,8 +330,8 @@
         const std::size_t node = m_world->callers()[number].node;
         for (const RequestView &one :
              const_cast<fakes::World &>(*m_world).node(node).requests().views(m_world->now())) {
-            const bool isIt = one.tokens == m_world->callers()[number].tokens;
-            if (isIt) {
+            const bool isSameRequest = one.tokens == m_world->callers()[number].tokens;
+            if (isSameRequest) {
                 return stageName(one.stage);
             }
         }
@@ -405,7 +417,7 @@
         };
         const auto reason = Reasons.find(state);
         if (reason == Reasons.end()) {
-            throw Failure("no such state: " + state);
+            throw Failure("unknown request state: " + state);
         }
         return request.refusal->reason == reason->second;
     }
@@ -413,7 +425,7 @@
     bool enginesAre(const std::string &state)
     {
         if (state != "clean") {
-            throw Failure("engines can be clean");
+            throw Failure("engines: the only supported state is clean");
         }
         const std::vector<std::string> names = m_world->engineNames();
         return std::all_of(names.begin(), names.end(), [this](const std::string &name) {
@@ -432,7 +444,7 @@
         return true;
     }
 
-    /** Whether @p node names the node @p name to callers. */
+    /** Returns whether @p node lists the node @p name to callers. */
     bool isNamed(std::size_t node, const std::string &name)
     {
         const auto addresses = m_world->node(node).callerAddresses(DomainName("hall-a"), 1);
@@ -457,8 +469,8 @@
     void kill(const Words &words)
     {
         if (at(words, 1) == "node") {
-            m_former = nodeOf(at(words, 2));
-            m_world->killNode(m_former);
+            m_lastAffectedNode = nodeOf(at(words, 2));
+            m_world->killNode(m_lastAffectedNode);
         } else {
             m_world->engine(at(words, 2)).kill();
         }
@@ -467,14 +479,14 @@
     void start(const Words &words) { m_world->startNode(nodeOf(at(words, 2))); }
     void leave(const Words &words)
     {
-        m_former = nodeOf(at(words, 2));
-        m_world->leaveNode(m_former);
+        m_lastAffectedNode = nodeOf(at(words, 2));
+        m_world->leaveNode(m_lastAffectedNode);
     }
     void freeze(const Words &words)
     {
         if (at(words, 1) == "node") {
-            m_former = nodeOf(at(words, 2));
-            m_world->freezeNode(m_former);
+            m_lastAffectedNode = nodeOf(at(words, 2));
+            m_world->freezeNode(m_lastAffectedNode);
         } else {
             m_world->engine(at(words, 2)).freeze();
         }
@@ -516,7 +528,7 @@
         } else {
             m_world->cut(node, nodeOf(words[2]));
         }
-        m_former = node;
+        m_lastAffectedNode = node;
     }
     void heal(const Words & /*words*/) { m_world->heal(); }
     void caller(const Words &words) { m_world->callerLeaves(m_requests.at(at(words, 1))); }
@@ -529,7 +541,7 @@
     void setVersion(const Words &words) { m_world->setVersion(at(words, 1), at(words, 2)); }
 
     std::size_t m_nodes = 4;
-    std::size_t m_former = 0;
+    std::size_t m_lastAffectedNode = 0;
     fakes::SmallDeployment m_deployment;
     std::optional<fakes::World> m_world;
     std::map<std::string, std::size_t> m_requests;
@@ -547,14 +559,14 @@
     } catch (const pegtl::parse_error &error) {
         return error.what();
     }
-    Player player;
+    ScenarioRunner runner;
     std::size_t line = 0;
     try {
         for (const Step &step : parsed.steps) {
             line = step.line;
-            player.play(step);
+            runner.play(step);
         }
-        player.finish();
+        runner.finish();
     } catch (const std::exception &failure) {
         return "line " + std::to_string(line) + ": " + failure.what();
     }
--- a/tests/scenarios/scenariotest.cpp
+++ b/tests/scenarios/scenariotest.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-/** Plays each file of tests/scenarios; its name is the test's. */
+/** Runs each file in tests/scenarios as a test case with the name of the file. */
 class ScenarioTest : public CppUnit::TestFixture
 {
 public:
@@ -59,10 +59,10 @@
         void runTest() override
         {
             const std::string text = textOf(m_path);
-            // A reader must learn what the caller sees before the steps begin.
+            // Each file must begin with a description of the guarded failure.
             const std::string opening = text.substr(0, text.find("\n\n"));
             const auto comments = std::count(opening.begin(), opening.end(), '#');
-            CPPUNIT_ASSERT_MESSAGE("a scenario opens with two to five lines that tell it",
+            CPPUNIT_ASSERT_MESSAGE("a scenario must begin with two to five comment lines",
                                    comments >= 2 && comments <= 5);
             const std::string failure = tests::playScenario(text);
             CPPUNIT_ASSERT_MESSAGE(failure, failure.empty());
