--- a/src/dispatch/plainflow.h
+++ b/src/dispatch/plainflow.h
@@ -5,8 +5,8 @@
 namespace indigoway::dispatch {
 
 /**
- * Requests to plain services: one call, and for idempotent requests another one at another
- * server if the first fails.
+ * Handles requests to plain services with one call; idempotent requests are retried at another
+ * server.
  */
 class PlainFlow : public RequestFlow
 {
@@ -16,20 +16,21 @@
     { }
 
     void begin(Step &step, OpenRequest &request) override;
-    void streamBegan(Step &step, OpenRequest &request, const StreamBegan &event) override;
+    void streamStarted(Step &step, OpenRequest &request, const StreamStarted &event) override;
     void callEnded(Step &step, OpenRequest &request, const OpenCall &call,
                    const CallEnded &event) override;
-    void orphanEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
+    void orphanedCallEnded(Step &step, const OpenCall &call, const CallEnded &event) override;
     void release(Step &step, OpenRequest &request) override;
     std::optional<TimePoint> tick(Step &step) override;
 
 private:
     void send(Step &step, OpenRequest &request);
-    const AnnouncedServer *pick(Step &step, const OpenRequest &request) const;
-    bool mayRunAgain(const OpenRequest &request) const;
-    void answered(Step &step, OpenRequest &request, const OpenCall &call, const CallEnded &event);
-    void turnedAway(Step &step, OpenRequest &request, const std::string &why);
-    void broken(Step &step, OpenRequest &request, const CallEnded &event);
+    const AnnouncedServer *pickServer(Step &step, const OpenRequest &request) const;
+    bool mayRetry(const OpenRequest &request) const;
+    void handleAnswer(Step &step, OpenRequest &request, const OpenCall &call,
+                      const CallEnded &event);
+    void handleRejection(Step &step, OpenRequest &request, const std::string &reason);
+    void handleFailure(Step &step, OpenRequest &request, const CallEnded &event);
 
     DispatchState &m_state;
 };
--- a/src/relay/requestrelay.cpp
+++ b/src/relay/requestrelay.cpp
@@ -130,7 +130,7 @@
     open.ready += whole;
     if (!open.hasBegun) {
         open.hasBegun = true;
-        post(StreamBegan {call, open.head.status, open.facts.load});
+        post(StreamStarted {call, open.head.status, open.facts.load});
     }
 }
 
@@ -153,7 +153,7 @@
     ended.call = open.call.call;
     ended.status = open.head.status;
     ended.load = open.facts.load;
-    ended.why = why;
+    ended.reason = why;
     ended.isConnectionLost = end == TransferEnd::Lost;
     if (open.call.kind == CallKind::Probe) {
         ended.end = end == TransferEnd::Complete ? CallEnd::Complete : CallEnd::NotConnected;
@@ -176,7 +176,7 @@
     }
     if (open.facts.isNotExecuted) {
         ended.end = CallEnd::NotExecuted;
-        ended.why = "turned away with " + std::to_string(open.head.status);
+        ended.reason = "turned away with " + std::to_string(open.head.status);
         return ended;
     }
     ended.end = CallEnd::Complete;
@@ -187,13 +187,14 @@
             ended.handle = grant.handle;
             ended.report = grant.report;
         }
-        ended.why = "status " + std::to_string(open.head.status);
+        ended.reason = "status " + std::to_string(open.head.status);
         return ended;
     }
     if (!open.facts.isGenuine) {
         // No server's mark: these bytes are nobody's answer, and whether it ran is not known.
         ended.end = CallEnd::Broken;
-        ended.why = "answer without the server's mark, status " + std::to_string(open.head.status);
+        ended.reason =
+            "answer without the server's mark, status " + std::to_string(open.head.status);
     }
     return ended;
 }
@@ -212,7 +213,7 @@
         origin = &exchange->second.request;
         open.callerId = exchange->second.callerId;
         exchange->second.events.dropPartial();
-        if (effect.goesOn) {
+        if (effect.isResumption) {
             lastEventId = exchange->second.events.lastId();
         }
     }
@@ -225,9 +226,9 @@
     request.call = effect.call;
     request.server = effect.server;
     request.address = effect.address;
-    request.silentFor = effect.silentFor;
+    request.idleTimeout = effect.idleTimeout;
     request.needsNewConnection = effect.needsNewConnection;
-    request.connectionsKept = effect.connectionsKept;
+    request.maxIdleConnections = effect.maxIdleConnections;
     m_calls.emplace(effect.call, std::move(open));
     m_servers.start(request);
 }
@@ -287,28 +288,28 @@
     m_exchanges.erase(effect.request);
 }
 
-void RequestRelay::run(const TellScheduler &effect)
+void RequestRelay::run(const SendToScheduler &effect)
 {
     if (m_schedulerHandler) {
         m_schedulerHandler(effect.message);
     }
 }
 
-void RequestRelay::run(const TellQuotaKeeper &effect)
+void RequestRelay::run(const SendToQuotaKeeper &effect)
 {
     if (m_quotaHandler) {
         m_quotaHandler(effect.message);
     }
 }
 
-void RequestRelay::run(const ShareCrash &effect)
+void RequestRelay::run(const PublishCrash &effect)
 {
     if (m_crashHandler) {
         m_crashHandler(effect);
     }
 }
 
-void RequestRelay::run(const RecordDecision &effect)
+void RequestRelay::run(const LogDecision &effect)
 {
     if (m_recordHandler) {
         m_recordHandler(effect);
