--- a/include/indigoway/effects.h
+++ b/include/indigoway/effects.h
@@ -134,7 +134,7 @@
     RequestNumber request;
     RefusalReason reason = RefusalReason::Overload;
     Execution execution = Execution::NotExecuted;
-    Duration comeBackAfter {};
+    Duration retryAfter {};
 };
 
 struct SendToPeer
--- a/include/indigoway/messages.h
+++ b/include/indigoway/messages.h
@@ -44,7 +44,7 @@
 };
 
 /** Asks the receiver to probe @p target (an indirect probe). */
-struct PingOnBehalf
+struct IndirectPing
 {
     MemberUpdate target;
 };
@@ -120,7 +120,7 @@
 };
 
 /** Asks the receiver which of @p requests it still owns. */
-struct WhichAreYours
+struct FetchOwnedRequests
 {
     std::vector<EngineRequestName> requests;
 };
@@ -131,8 +131,9 @@
     std::string kind;
 };
 
-using PeerRequest = std::variant<Ping, PingOnBehalf, FetchConfiguration, ClaimCapacity,
-                                 PrefillEnded, ReleaseClaim, AdoptClaim, WhichAreYours, FetchRows>;
+using PeerRequest =
+    std::variant<Ping, IndirectPing, FetchConfiguration, ClaimCapacity, PrefillEnded, ReleaseClaim,
+                 AdoptClaim, FetchOwnedRequests, FetchRows>;
 
 /** Answer to Ping. */
 struct Pong
@@ -142,7 +143,7 @@
     Revision revision;
 };
 
-/** Answer to PingOnBehalf. */
+/** Answer to IndirectPing. */
 struct ProbeResult
 {
     bool isAlive = false;
@@ -171,18 +172,18 @@
 /** The claim was refused. */
 struct NotGranted
 {
-    enum class Why {
+    enum class Reason {
         Overload,     ///< The target cannot be met or the queue is full.
         NoServer,     ///< The cell has no usable server.
         NotScheduler, ///< The receiver does not schedule the cell.
         UnknownClaim,
     };
-    Why why = Why::Overload;
-    Duration comeBackAfter {};
+    Reason reason = Reason::Overload;
+    Duration retryAfter {};
 };
 
-/** Answer to WhichAreYours. */
-struct TheseAreMine
+/** Answer to FetchOwnedRequests. */
+struct OwnedRequests
 {
     std::vector<EngineRequestName> requests;
 };
@@ -199,7 +200,7 @@
 };
 
 using PeerReply = std::variant<Pong, ProbeResult, ConfigurationText, Granted, DecodeAssigned,
-                               NotGranted, TheseAreMine, Rows, Acknowledged>;
+                               NotGranted, OwnedRequests, Rows, Acknowledged>;
 
 /** The call failed: refused, lost, timed out, or the answer was malformed. */
 struct PeerFailed
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -190,8 +190,8 @@
     if (const auto *ping = std::get_if<Ping>(&request)) {
         m_lastPeerContact = turn.now;
         m_membership.handlePing(turn, number, *ping);
-    } else if (const auto *onBehalf = std::get_if<PingOnBehalf>(&request)) {
-        m_membership.handlePingOnBehalf(turn, number, *onBehalf);
+    } else if (const auto *indirect = std::get_if<IndirectPing>(&request)) {
+        m_membership.handleIndirectPing(turn, number, *indirect);
     } else if (std::holds_alternative<FetchConfiguration>(request)) {
         m_configuration.handleFetch(turn, number);
     } else if (const auto *claim = std::get_if<ClaimCapacity>(&request)) {
@@ -204,9 +204,9 @@
         m_scheduler.handleAdopt(turn, number, *adopt);
     } else if (const auto *fetch = std::get_if<FetchRows>(&request)) {
         m_queries.handleFetch(turn, number, *fetch);
-    } else if (const auto *ownership = std::get_if<WhichAreYours>(&request)) {
-        TheseAreMine owned;
-        for (const EngineRequestName &name : ownership->requests) {
+    } else if (const auto *query = std::get_if<FetchOwnedRequests>(&request)) {
+        OwnedRequests owned;
+        for (const EngineRequestName &name : query->requests) {
             if (m_requests.owns(name)) {
                 owned.requests.push_back(name);
             }
--- a/src/http/callergateway.cpp
+++ b/src/http/callergateway.cpp
@@ -261,7 +261,7 @@
                                     [&](const auto &one) { return one.reason == effect.reason; });
     if (!request.hasStarted) {
         problem(request.original.exchange, text->status, text->title, "", effect.execution,
-                effect.comeBackAfter);
+                effect.retryAfter);
         return;
     }
     // The head is sent, so the status cannot tell any more: an error event, and then a connection
@@ -483,7 +483,7 @@
 }
 
 void CallerGateway::problem(ExchangeNumber exchange, int status, const std::string &title,
-                            const std::string &detail, Execution execution, Duration comeBackAfter)
+                            const std::string &detail, Execution execution, Duration retryAfter)
 {
     Json::Value body;
     body["type"] = "about:blank";
@@ -495,10 +495,10 @@
     body["execution"] = executionText(execution);
     HttpHeaders headers {{"Content-Type", "application/problem+json"},
                          {ExecutionHeader, executionText(execution)}};
-    if (comeBackAfter > Duration::zero()) {
-        headers.emplace_back("Retry-After", std::to_string(retrySeconds(comeBackAfter)));
-        body["retry_after_ms"] = Json::Int64(
-            std::chrono::duration_cast<std::chrono::milliseconds>(comeBackAfter).count());
+    if (retryAfter > Duration::zero()) {
+        headers.emplace_back("Retry-After", std::to_string(retrySeconds(retryAfter)));
+        body["retry_after_ms"] =
+            Json::Int64(std::chrono::duration_cast<std::chrono::milliseconds>(retryAfter).count());
     }
     if (m_node.isLeaving()) {
         body["nodes"] = nodeList(m_node.membership().self().domain);
--- a/src/http/callergateway.h
+++ b/src/http/callergateway.h
@@ -47,7 +47,7 @@
     void answerModels(const HttpRequest &request);
     void answerHealth(const HttpRequest &request);
     void problem(ExchangeNumber exchange, int status, const std::string &title,
-                 const std::string &detail, Execution execution, Duration comeBackAfter);
+                 const std::string &detail, Execution execution, Duration retryAfter);
     void arrived(OpenRequest open);
     bool takeHeaders(OpenRequest &open);
     void startStream(OpenRequest &request);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -171,8 +171,8 @@
     turn.reply(number, std::move(pong));
 }
 
-void Membership::handlePingOnBehalf(Turn &turn, PeerRequestNumber number,
-                                    const PingOnBehalf &request)
+void Membership::handleIndirectPing(Turn &turn, PeerRequestNumber number,
+                                    const IndirectPing &request)
 {
     sendProbe(turn, request.target, number);
 }
@@ -397,7 +397,7 @@
     }
     m_indirectProbes[target.life.node] = probe;
     for (const NodeName &helper : helpers) {
-        m_indirectCalls[turn.ask(helper, PingOnBehalf {target}, IndirectTimeout)] =
+        m_indirectCalls[turn.ask(helper, IndirectPing {target}, IndirectTimeout)] =
             target.life.node;
     }
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -61,7 +61,7 @@
     void probe(Turn &turn, const NodeName &node);
 
     void handlePing(Turn &turn, PeerRequestNumber number, const Ping &ping);
-    void handlePingOnBehalf(Turn &turn, PeerRequestNumber number, const PingOnBehalf &request);
+    void handleIndirectPing(Turn &turn, PeerRequestNumber number, const IndirectPing &request);
     /** Returns whether @p call was made by this subsystem. */
     bool handleAnswer(Turn &turn, PeerCallNumber call, const PeerOutcome &outcome);
     void runDue(Turn &turn);
--- a/src/peers/messagecodec.cpp
+++ b/src/peers/messagecodec.cpp
@@ -35,7 +35,7 @@
     v("all", m.wantsAll);
 }
 template <typename V>
-void fields(V &v, PingOnBehalf &m)
+void fields(V &v, IndirectPing &m)
 {
     v("target", m.target);
 }
@@ -97,7 +97,7 @@
     v("out", m.outputTokens);
 }
 template <typename V>
-void fields(V &v, WhichAreYours &m)
+void fields(V &v, FetchOwnedRequests &m)
 {
     v("r", m.requests);
 }
@@ -138,11 +138,11 @@
 template <typename V>
 void fields(V &v, NotGranted &m)
 {
-    v("why", m.why);
-    v("after", m.comeBackAfter);
+    v("why", m.reason);
+    v("after", m.retryAfter);
 }
 template <typename V>
-void fields(V &v, TheseAreMine &m)
+void fields(V &v, OwnedRequests &m)
 {
     v("r", m.requests);
 }
@@ -180,7 +180,7 @@
 template <>
 constexpr int EnumSize<MemberState> = 4;
 template <>
-constexpr int EnumSize<NotGranted::Why> = 4;
+constexpr int EnumSize<NotGranted::Reason> = 4;
 
 class FieldWriter
 {
@@ -300,7 +300,7 @@
 template <>
 constexpr const char *WireName<Ping> = "ping";
 template <>
-constexpr const char *WireName<PingOnBehalf> = "pingOnBehalf";
+constexpr const char *WireName<IndirectPing> = "pingOnBehalf";
 template <>
 constexpr const char *WireName<FetchConfiguration> = "fetchConfiguration";
 template <>
@@ -312,7 +312,7 @@
 template <>
 constexpr const char *WireName<AdoptClaim> = "adoptClaim";
 template <>
-constexpr const char *WireName<WhichAreYours> = "whichAreYours";
+constexpr const char *WireName<FetchOwnedRequests> = "whichAreYours";
 template <>
 constexpr const char *WireName<FetchRows> = "fetchRows";
 template <>
@@ -328,7 +328,7 @@
 template <>
 constexpr const char *WireName<NotGranted> = "notGranted";
 template <>
-constexpr const char *WireName<TheseAreMine> = "theseAreMine";
+constexpr const char *WireName<OwnedRequests> = "theseAreMine";
 template <>
 constexpr const char *WireName<Rows> = "rows";
 template <>
--- a/src/placement/cellscheduler.cpp
+++ b/src/placement/cellscheduler.cpp
@@ -51,7 +51,7 @@
 {
     const Target *declared = m_servers.target(turn);
     if (!declared) {
-        refuse(turn, number, NotGranted::Why::NoServer, LeastComeBack);
+        refuse(turn, number, NotGranted::Reason::NoServer, LeastComeBack);
         return;
     }
     if (isRepetition(turn, number, claim)) {
@@ -73,7 +73,7 @@
     const Duration wait = waitBehind(backlogBefore(turn, waiting));
     const bool isTooMany = this->waiting() >= declared->maxQueued;
     if (isTooMany || turn.now + wait > waiting.giveUpAt) {
-        refuse(turn, number, NotGranted::Why::Overload, wait);
+        refuse(turn, number, NotGranted::Reason::Overload, wait);
         return;
     }
     enqueue(std::move(waiting));
@@ -119,7 +119,7 @@
 {
     const auto it = m_grants.find(ended.claim);
     if (it == m_grants.end() || it->second.stage != Stage::Prefill) {
-        refuse(turn, number, NotGranted::Why::UnknownClaim, Duration::zero());
+        refuse(turn, number, NotGranted::Reason::UnknownClaim, Duration::zero());
         return;
     }
     Grant &grant = it->second;
@@ -146,7 +146,7 @@
     const auto server = m_servers.chooseDecode(turn, ended.avoid);
     if (!server) {
         m_grants.erase(it);
-        refuse(turn, number, NotGranted::Why::NoServer, LeastComeBack);
+        refuse(turn, number, NotGranted::Reason::NoServer, LeastComeBack);
         pump(turn);
         return;
     }
@@ -195,7 +195,7 @@
 {
     const Server *server = turn.deployment.server(adopted.server);
     if (!server) {
-        refuse(turn, number, NotGranted::Why::NoServer, Duration::zero());
+        refuse(turn, number, NotGranted::Reason::NoServer, Duration::zero());
         return;
     }
     Grant grant;
@@ -267,7 +267,7 @@
 {
     for (Queue *queue : {&m_onTime, &m_late}) {
         for (const Waiting &waiting : *queue) {
-            refuse(turn, waiting, NotGranted::Why::NotScheduler, Duration::zero());
+            refuse(turn, waiting, NotGranted::Reason::NotScheduler, Duration::zero());
         }
         queue->clear();
     }
@@ -491,7 +491,7 @@
             ++it;
             continue;
         }
-        refuse(turn, *it, NotGranted::Why::Overload, waitBehind(ahead));
+        refuse(turn, *it, NotGranted::Reason::Overload, waitBehind(ahead));
         it = queue.erase(it);
     }
 }
@@ -512,7 +512,7 @@
         if (!isHopeless) {
             addTo(ahead, *present);
         } else if (refusesLate) {
-            refuse(turn, *present, NotGranted::Why::Overload, waitBehind(ahead));
+            refuse(turn, *present, NotGranted::Reason::Overload, waitBehind(ahead));
             m_onTime.erase(present);
         } else {
             const auto place =
@@ -616,18 +616,18 @@
     m_onTime.insert(after.base(), std::move(waiting));
 }
 
-void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why why,
-                           Duration comeBackAfter)
+void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Reason reason,
+                           Duration retryAfter)
 {
     turn.count(Counter::ClaimsRefused);
-    turn.reply(number, NotGranted {why, std::clamp(comeBackAfter, LeastComeBack, MostComeBack)});
+    turn.reply(number, NotGranted {reason, std::clamp(retryAfter, LeastComeBack, MostComeBack)});
 }
 
-void CellScheduler::refuse(Turn &turn, const Waiting &waiting, NotGranted::Why why,
-                           Duration comeBackAfter)
+void CellScheduler::refuse(Turn &turn, const Waiting &waiting, NotGranted::Reason reason,
+                           Duration retryAfter)
 {
     for (const PeerRequestNumber number : waiting.numbers) {
-        refuse(turn, number, why, comeBackAfter);
+        refuse(turn, number, reason, retryAfter);
     }
 }
 
--- a/src/placement/cellscheduler.h
+++ b/src/placement/cellscheduler.h
@@ -138,8 +138,9 @@
     bool grantFirstFrom(Turn &turn, Queue &queue, Blocked &blocked);
     bool tryGrant(Turn &turn, const Waiting &waiting);
     void enqueue(Waiting waiting);
-    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why why, Duration comeBackAfter);
-    void refuse(Turn &turn, const Waiting &waiting, NotGranted::Why why, Duration comeBackAfter);
+    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Reason reason,
+                Duration retryAfter);
+    void refuse(Turn &turn, const Waiting &waiting, NotGranted::Reason reason, Duration retryAfter);
     void noteRelease(TimePoint now);
     void unassign(ClaimNumber number, const Grant &grant);
 
--- a/src/placement/scheduler.cpp
+++ b/src/placement/scheduler.cpp
@@ -59,7 +59,7 @@
 {
     const auto it = m_cells.find({claim.target, claim.cell});
     if (it == m_cells.end()) {
-        turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::NotScheduler, {}});
         return;
     }
     it->second.claim(turn, number, claim);
@@ -69,7 +69,7 @@
 {
     CellScheduler *cell = cellWith(ended.claim);
     if (!cell) {
-        turn.reply(number, NotGranted {NotGranted::Why::UnknownClaim, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::UnknownClaim, {}});
         return;
     }
     cell->prefillEnded(turn, number, ended);
@@ -94,7 +94,7 @@
 {
     const auto it = m_cells.find({adopt.target, adopt.cell});
     if (it == m_cells.end()) {
-        turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::NotScheduler, {}});
         return;
     }
     it->second.adopt(turn, number, turn.numbers.next<ClaimNumber>(), adopt);
@@ -123,13 +123,14 @@
     const ClaimCheck check = std::move(it->second);
     m_checks.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *mine = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
+    const auto *owned = reply ? std::get_if<OwnedRequests>(reply) : nullptr;
     const auto cell = m_cells.find(check.cell);
-    if (!mine || cell == m_cells.end()) {
+    if (!owned || cell == m_cells.end()) {
         return true;
     }
     for (const auto &[claim, name] : check.claims) {
-        if (std::find(mine->requests.begin(), mine->requests.end(), name) == mine->requests.end()) {
+        if (std::find(owned->requests.begin(), owned->requests.end(), name)
+            == owned->requests.end()) {
             cell->second.releaseLost(turn, claim);
         }
     }
@@ -246,7 +247,7 @@
             if (!turn.members.mayLive(owner)) {
                 continue;
             }
-            WhichAreYours question;
+            FetchOwnedRequests question;
             for (const auto &[claim, name] : check.claims) {
                 question.requests.push_back(name);
             }
--- a/src/requests/capacityclaims.cpp
+++ b/src/requests/capacityclaims.cpp
@@ -274,7 +274,7 @@
     const auto *refused = reply ? std::get_if<NotGranted>(reply) : nullptr;
     m_claims.erase(request);
     if (refused) {
-        return ClaimRefused {request, refused->why, refused->comeBackAfter};
+        return ClaimRefused {request, refused->reason, refused->retryAfter};
     }
     return SchedulerUnreachable {request};
 }
@@ -289,9 +289,9 @@
         return DecodeChosen {request, assigned->server};
     }
     const auto *refused = reply ? std::get_if<NotGranted>(reply) : nullptr;
-    if (refused && refused->why == NotGranted::Why::NoServer) {
+    if (refused && refused->reason == NotGranted::Reason::NoServer) {
         m_claims.erase(request);
-        return ClaimRefused {request, refused->why, refused->comeBackAfter};
+        return ClaimRefused {request, refused->reason, refused->retryAfter};
     }
     // The scheduler is gone or has forgotten the claim. The prefill's result lives for less than
     // a second: choosing alone now wastes nothing, asking around would.
--- a/src/requests/capacityclaims.h
+++ b/src/requests/capacityclaims.h
@@ -34,8 +34,8 @@
 struct ClaimRefused
 {
     RequestNumber request;
-    NotGranted::Why why = NotGranted::Why::Overload;
-    Duration comeBackAfter {};
+    NotGranted::Reason reason = NotGranted::Reason::Overload;
+    Duration retryAfter {};
 };
 
 /** No scheduler answers; whoever asked has to decide alone. */
--- a/src/requests/reclaimer.cpp
+++ b/src/requests/reclaimer.cpp
@@ -48,7 +48,7 @@
     }
     before = std::move(now);
     for (auto &[owner, names] : toAsk) {
-        const auto call = turn.ask(owner.node, WhichAreYours {names}, QuestionTimeout);
+        const auto call = turn.ask(owner.node, FetchOwnedRequests {names}, QuestionTimeout);
         m_questions[call] = {report.server, std::move(names)};
     }
 }
@@ -63,12 +63,13 @@
     const Question question = std::move(it->second);
     m_questions.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *mine = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
-    if (!mine) {
+    const auto *owned = reply ? std::get_if<OwnedRequests>(reply) : nullptr;
+    if (!owned) {
         return true;
     }
     for (const EngineRequestName &name : question.requests) {
-        if (std::find(mine->requests.begin(), mine->requests.end(), name) == mine->requests.end()) {
+        if (std::find(owned->requests.begin(), owned->requests.end(), name)
+            == owned->requests.end()) {
             turn.count(Counter::Reclaimed);
             requests.reclaim(turn, question.server, name);
         }
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -444,11 +444,12 @@
         tryAgain(turn, refused.request, {}, false);
         return;
     }
-    if (refused.why == NotGranted::Why::Overload) {
-        refuse(turn, refused.request, RefusalReason::Overload, refused.comeBackAfter);
+    if (refused.reason == NotGranted::Reason::Overload) {
+        refuse(turn, refused.request, RefusalReason::Overload, refused.retryAfter);
         return;
     }
-    if (refused.why == NotGranted::Why::NotScheduler && ++request.strayAnswers > MostStrayAnswers) {
+    if (refused.reason == NotGranted::Reason::NotScheduler
+        && ++request.strayAnswers > MostStrayAnswers) {
         request.strayAnswers = 0;
         placeAlone(turn, refused.request, request);
         return;
@@ -801,8 +802,7 @@
     m_requests.erase(number);
 }
 
-void Requests::refuse(Turn &turn, RequestNumber number, RefusalReason reason,
-                      Duration comeBackAfter)
+void Requests::refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration retryAfter)
 {
     Request &request = m_requests.at(number);
     letGo(turn, number, request, false);
@@ -818,7 +818,7 @@
                                                  : ReservationEnd::NotExecuted);
     }
     turn.count(request.wasDispatched ? Counter::RequestsFailed : Counter::RequestsRefused);
-    turn.add(RefuseRequest {number, reason, execution, comeBackAfter});
+    turn.add(RefuseRequest {number, reason, execution, retryAfter});
     m_requests.erase(number);
 }
 
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -159,7 +159,7 @@
     void stalled(Turn &turn, RequestNumber number);
     void retryDue(Turn &turn, RequestNumber number);
     void finish(Turn &turn, RequestNumber number);
-    void refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration comeBackAfter);
+    void refuse(Turn &turn, RequestNumber number, RefusalReason reason, Duration retryAfter);
     /** Ends the request's calls, claims and engine memory. */
     void letGo(Turn &turn, RequestNumber number, Request &request, bool serverFailed);
     void cancelAttempt(Turn &turn, RequestNumber number, const Request &request);
--- a/tests/peers/messagecodectest.cpp
+++ b/tests/peers/messagecodectest.cpp
@@ -22,13 +22,13 @@
     claim.prefixHashes = {1, ~std::uint64_t {0}};
     claim.avoid = {ServerName("s")};
     return {Ping {member, {member, member}, Revision(4), true},
-            PingOnBehalf {member},
+            IndirectPing {member},
             FetchConfiguration {},
             claim,
             PrefillEnded {ClaimNumber(1), true, Duration(9), {}},
             ReleaseClaim {ClaimNumber(2), claim.identity(), claim.target, 3, 4, Duration(5), true},
             AdoptClaim {},
-            WhichAreYours {{EngineRequestName("n.1.2.3")}},
+            FetchOwnedRequests {{EngineRequestName("n.1.2.3")}},
             FetchRows {"nodes"}};
 }
 
@@ -39,8 +39,8 @@
             ConfigurationText {Revision(3), "model m\n"},
             Granted {ClaimNumber(1), ServerName("s")},
             DecodeAssigned {ServerName("d")},
-            NotGranted {NotGranted::Why::NotScheduler, Duration(3)},
-            TheseAreMine {{EngineRequestName("x")}},
+            NotGranted {NotGranted::Reason::NotScheduler, Duration(3)},
+            OwnedRequests {{EngineRequestName("x")}},
             Rows {{{"a"}, {{"1"}, {"2"}}}},
             Acknowledged {}};
 }
@@ -97,7 +97,7 @@
         }
         CPPUNIT_ASSERT(!decodeRequest("nothing", Json::objectValue));
         CPPUNIT_ASSERT(!decodeReply(Json::Value(3)));
-        Json::Value member = encodeRequest(PingOnBehalf {}).params;
+        Json::Value member = encodeRequest(IndirectPing {}).params;
         member["target"]["s"] = 17;
         CPPUNIT_ASSERT(!decodeRequest("pingOnBehalf", member));
     }
