--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -84,7 +84,7 @@
     return it == m_members.end() ? nullptr : &it->second.update;
 }
 
-bool Membership::mayLive(const NodeLife &life) const
+bool Membership::mayBeAlive(const NodeLife &life) const
 {
     const MemberUpdate *update = member(life.node);
     return update && update->life == life && update->state != MemberState::Dead;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -40,7 +40,7 @@
     /** Returns the latest state of @p node, or null if it is unknown or long dead. */
     const MemberUpdate *member(const NodeName &node) const;
     /** Returns whether @p life is the latest known life of its node and not known to be dead. */
-    bool mayLive(const NodeLife &life) const;
+    bool mayBeAlive(const NodeLife &life) const;
     /** Returns since when @p life has been known to be dead, or nothing while it may be alive. */
     std::optional<TimePoint> deadSince(const NodeLife &life) const;
     /** Returns a counter that rises when a node's eligibility changes or it joins or dies. */
--- a/src/placement/scheduler.cpp
+++ b/src/placement/scheduler.cpp
@@ -244,7 +244,7 @@
             check.claims.emplace_back(claim, name);
         }
         for (auto &[owner, check] : byOwner) {
-            if (!turn.members.mayLive(owner)) {
+            if (!turn.members.mayBeAlive(owner)) {
                 continue;
             }
             FetchOwnedRequests question;
--- a/src/requests/capacityclaims.cpp
+++ b/src/requests/capacityclaims.cpp
@@ -147,7 +147,7 @@
     for (auto &[request, claim] : m_claims) {
         const NodeLife next = schedulerFor(turn, claim.wanted);
         const MemberUpdate *member = turn.members.member(claim.scheduler.node);
-        const bool isGone = !turn.members.mayLive(claim.scheduler);
+        const bool isGone = !turn.members.mayBeAlive(claim.scheduler);
         const bool isDoubtful = isGone || (member && member->state == MemberState::Suspect);
         if (claim.state == State::Waiting) {
             if (next == claim.scheduler && isDoubtful) {
@@ -185,7 +185,7 @@
             continue;
         }
         auto node = m_releasesToRetry.extract(number);
-        if (!node.empty() && turn.members.mayLive(node.mapped().scheduler)) {
+        if (!node.empty() && turn.members.mayBeAlive(node.mapped().scheduler)) {
             sendRelease(turn, std::move(node.mapped()));
         }
     }
@@ -223,7 +223,7 @@
 {
     m_calls.erase(claim.call);
     m_timers.clear({Timer::Doubt, claim.wanted.request.value()});
-    if (turn.members.mayLive(claim.scheduler)) {
+    if (turn.members.mayBeAlive(claim.scheduler)) {
         sendRelease(turn, {claim.scheduler, releaseOf(claim), 0});
     }
 }
--- a/src/requests/reclaimer.cpp
+++ b/src/requests/reclaimer.cpp
@@ -39,7 +39,7 @@
         if (sighting.reports < ReportsBeforeAsking) {
             continue;
         }
-        if (turn.members.mayLive(owner)) {
+        if (turn.members.mayBeAlive(owner)) {
             toAsk[owner].push_back(name);
         } else if (isLongDead(turn, owner, registry, sighting.first)) {
             turn.count(Counter::Reclaimed);
--- a/src/requests/reservations.cpp
+++ b/src/requests/reservations.cpp
@@ -178,7 +178,7 @@
     const std::string state = stringMember(found, "state");
     m_entries.erase(request);
     return ReservedByOther {request, state == "done",
-                            state == "running" && turn.members.mayLive(owner)};
+                            state == "running" && turn.members.mayBeAlive(owner)};
 }
 
 void Reservations::endAnswered(Turn &turn, RequestNumber request, Entry &entry,
