--- a/src/core/node.h
+++ b/src/core/node.h
@@ -28,7 +28,7 @@
     std::string peerAddress;
     DomainName domain;
     RequestLimits limits;
-    PlacementMode mode = PlacementMode::Granted;
+    PlacementMode mode = PlacementMode::Scheduled;
     LocalPolicy policy = LocalPolicy::PowerOfTwo;
     /** Seed peers, contacted at start without asking the store. */
     std::vector<MemberUpdate> peers;
