--- a/src/placement/cellscheduler.cpp
+++ b/src/placement/cellscheduler.cpp
@@ -52,7 +52,7 @@
 {
     const Target *target = m_servers.target(turn);
     if (!target) {
-        refuse(turn, number, NotGranted::Why::NoServer, MinRetryAfter);
+        refuse(turn, number, NotGranted::Reason::NoServer, MinRetryAfter);
         return;
     }
     if (answerRepeated(turn, number, claim)) {
@@ -74,7 +74,7 @@
     const Duration wait = expectedWait(backlogAhead(turn, waiting));
     const bool isQueueFull = this->waitingCount() >= target->maxQueued;
     if (isQueueFull || turn.now + wait > waiting.giveUpAt) {
-        refuse(turn, number, NotGranted::Why::Overload, wait);
+        refuse(turn, number, NotGranted::Reason::Overload, wait);
         return;
     }
     enqueue(std::move(waiting));
@@ -122,7 +122,7 @@
 {
     const auto it = m_grants.find(ended.claim);
     if (it == m_grants.end() || it->second.stage != Stage::Prefill) {
-        refuse(turn, number, NotGranted::Why::UnknownClaim, Duration::zero());
+        refuse(turn, number, NotGranted::Reason::UnknownClaim, Duration::zero());
         return;
     }
     Grant &grant = it->second;
@@ -149,7 +149,7 @@
     const auto server = m_servers.chooseDecode(turn, ended.avoid);
     if (!server) {
         m_grants.erase(it);
-        refuse(turn, number, NotGranted::Why::NoServer, MinRetryAfter);
+        refuse(turn, number, NotGranted::Reason::NoServer, MinRetryAfter);
         processQueue(turn);
         return;
     }
@@ -198,7 +198,7 @@
 {
     const Server *server = turn.deployment.server(adopted.server);
     if (!server) {
-        refuse(turn, number, NotGranted::Why::NoServer, Duration::zero());
+        refuse(turn, number, NotGranted::Reason::NoServer, Duration::zero());
         return;
     }
     Grant grant;
@@ -270,7 +270,7 @@
 {
     for (Queue *queue : {&m_onTime, &m_late}) {
         for (const WaitingClaim &waiting : *queue) {
-            refuse(turn, waiting, NotGranted::Why::NotScheduler, Duration::zero());
+            refuse(turn, waiting, NotGranted::Reason::NotScheduler, Duration::zero());
         }
         queue->clear();
     }
@@ -501,7 +501,7 @@
             ++it;
             continue;
         }
-        refuse(turn, *it, NotGranted::Why::Overload, expectedWait(ahead));
+        refuse(turn, *it, NotGranted::Reason::Overload, expectedWait(ahead));
         it = queue.erase(it);
     }
 }
@@ -522,7 +522,7 @@
         if (!missesTarget) {
             addTo(ahead, *current);
         } else if (refusesLate) {
-            refuse(turn, *current, NotGranted::Why::Overload, expectedWait(ahead));
+            refuse(turn, *current, NotGranted::Reason::Overload, expectedWait(ahead));
             m_onTime.erase(current);
         } else {
             const auto place =
@@ -628,14 +628,14 @@
     m_onTime.insert(after.base(), std::move(waiting));
 }
 
-void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why reason,
+void CellScheduler::refuse(Turn &turn, PeerRequestNumber number, NotGranted::Reason reason,
                            Duration retryAfter)
 {
     turn.count(Counter::ClaimsRefused);
     turn.reply(number, NotGranted {reason, std::clamp(retryAfter, MinRetryAfter, MaxRetryAfter)});
 }
 
-void CellScheduler::refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Why reason,
+void CellScheduler::refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Reason reason,
                            Duration retryAfter)
 {
     for (const PeerRequestNumber number : waiting.replyNumbers) {
--- a/src/placement/cellscheduler.h
+++ b/src/placement/cellscheduler.h
@@ -145,8 +145,9 @@
     bool grantFirstFrom(Turn &turn, Queue &queue, UnplaceableClaims &blocked);
     bool tryGrant(Turn &turn, const WaitingClaim &waiting);
     void enqueue(WaitingClaim waiting);
-    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Why reason, Duration retryAfter);
-    void refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Why reason,
+    void refuse(Turn &turn, PeerRequestNumber number, NotGranted::Reason reason,
+                Duration retryAfter);
+    void refuse(Turn &turn, const WaitingClaim &waiting, NotGranted::Reason reason,
                 Duration retryAfter);
     void recordRelease(TimePoint now);
     void unassign(ClaimNumber number, const Grant &grant);
--- a/src/placement/scheduler.cpp
+++ b/src/placement/scheduler.cpp
@@ -60,7 +60,7 @@
 {
     const auto it = m_cells.find({claim.target, claim.cell});
     if (it == m_cells.end()) {
-        turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::NotScheduler, {}});
         return;
     }
     it->second.handleClaim(turn, number, claim);
@@ -70,7 +70,7 @@
 {
     CellScheduler *cell = cellOfClaim(ended.claim);
     if (!cell) {
-        turn.reply(number, NotGranted {NotGranted::Why::UnknownClaim, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::UnknownClaim, {}});
         return;
     }
     cell->handlePrefillEnded(turn, number, ended);
@@ -95,7 +95,7 @@
 {
     const auto it = m_cells.find({adopt.target, adopt.cell});
     if (it == m_cells.end()) {
-        turn.reply(number, NotGranted {NotGranted::Why::NotScheduler, {}});
+        turn.reply(number, NotGranted {NotGranted::Reason::NotScheduler, {}});
         return;
     }
     it->second.handleAdopt(turn, number, turn.numbers.next<ClaimNumber>(), adopt);
@@ -124,7 +124,7 @@
     const ClaimCheck check = std::move(it->second);
     m_checks.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *owned = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
+    const auto *owned = reply ? std::get_if<OwnedRequests>(reply) : nullptr;
     const auto cell = m_cells.find(check.cell);
     if (!owned || cell == m_cells.end()) {
         return true;
@@ -245,10 +245,10 @@
             check.claims.emplace_back(claim, name);
         }
         for (auto &[owner, check] : byOwner) {
-            if (!turn.members.mayLive(owner)) {
+            if (!turn.members.mayBeAlive(owner)) {
                 continue;
             }
-            WhichAreYours question;
+            FetchOwnedRequests question;
             for (const auto &[claim, name] : check.claims) {
                 question.requests.push_back(name);
             }
--- a/src/requests/capacityclaims.cpp
+++ b/src/requests/capacityclaims.cpp
@@ -146,7 +146,7 @@
     for (auto &[request, claim] : m_claims) {
         const NodeLife next = schedulerFor(turn, claim.wanted);
         const MemberUpdate *member = turn.members.member(claim.scheduler.node);
-        const bool isGone = !turn.members.mayLive(claim.scheduler);
+        const bool isGone = !turn.members.mayBeAlive(claim.scheduler);
         const bool isUnreachable = isGone || (member && member->state == MemberState::Suspect);
         if (claim.state == State::Waiting) {
             if (next == claim.scheduler && isUnreachable) {
@@ -184,7 +184,7 @@
             continue;
         }
         auto node = m_releasesToRetry.extract(number);
-        if (!node.empty() && turn.members.mayLive(node.mapped().scheduler)) {
+        if (!node.empty() && turn.members.mayBeAlive(node.mapped().scheduler)) {
             sendRelease(turn, std::move(node.mapped()));
         }
     }
@@ -223,7 +223,7 @@
 {
     m_calls.erase(claim.call);
     m_timers.clear({Timer::ProbeScheduler, claim.wanted.request.value()});
-    if (turn.members.mayLive(claim.scheduler)) {
+    if (turn.members.mayBeAlive(claim.scheduler)) {
         sendRelease(turn, {claim.scheduler, releaseMessage(claim), 0});
     }
 }
@@ -274,7 +274,7 @@
     const auto *refused = reply ? std::get_if<NotGranted>(reply) : nullptr;
     m_claims.erase(request);
     if (refused) {
-        return ClaimRefused {request, refused->why, refused->comeBackAfter};
+        return ClaimRefused {request, refused->reason, refused->retryAfter};
     }
     return SchedulerUnreachable {request};
 }
@@ -289,9 +289,9 @@
         return DecodeChosen {request, assigned->server};
     }
     const auto *refused = reply ? std::get_if<NotGranted>(reply) : nullptr;
-    if (refused && refused->why == NotGranted::Why::NoServer) {
+    if (refused && refused->reason == NotGranted::Reason::NoServer) {
         m_claims.erase(request);
-        return ClaimRefused {request, refused->why, refused->comeBackAfter};
+        return ClaimRefused {request, refused->reason, refused->retryAfter};
     }
     // The scheduler is unreachable or does not know the claim. The engine keeps the prefill's
     // result for less than a second, so the decode server is chosen locally without a retry.
--- a/src/requests/capacityclaims.h
+++ b/src/requests/capacityclaims.h
@@ -34,7 +34,7 @@
 struct ClaimRefused
 {
     RequestNumber request;
-    NotGranted::Why reason = NotGranted::Why::Overload;
+    NotGranted::Reason reason = NotGranted::Reason::Overload;
     Duration retryAfter {};
 };
 
--- a/src/requests/reclaimer.cpp
+++ b/src/requests/reclaimer.cpp
@@ -41,7 +41,7 @@
         if (request.reports < ReportsBeforeQuery) {
             continue;
         }
-        if (turn.members.mayLive(owner)) {
+        if (turn.members.mayBeAlive(owner)) {
             toQuery[owner].push_back(name);
         } else if (mayReclaim(turn, owner, registry, request.firstListed)) {
             turn.count(Counter::Reclaimed);
@@ -50,7 +50,7 @@
     }
     previous = std::move(current);
     for (auto &[owner, names] : toQuery) {
-        const auto call = turn.ask(owner.node, WhichAreYours {names}, QueryTimeout);
+        const auto call = turn.ask(owner.node, FetchOwnedRequests {names}, QueryTimeout);
         m_queries[call] = {report.server, std::move(names)};
     }
 }
@@ -65,7 +65,7 @@
     const OwnershipQuery query = std::move(it->second);
     m_queries.erase(it);
     const auto *reply = std::get_if<PeerReply>(&outcome);
-    const auto *owned = reply ? std::get_if<TheseAreMine>(reply) : nullptr;
+    const auto *owned = reply ? std::get_if<OwnedRequests>(reply) : nullptr;
     if (!owned) {
         return true;
     }
--- a/src/requests/requests.cpp
+++ b/src/requests/requests.cpp
@@ -444,11 +444,11 @@
         retryOrRefuse(turn, refused.request, {}, false);
         return;
     }
-    if (refused.reason == NotGranted::Why::Overload) {
+    if (refused.reason == NotGranted::Reason::Overload) {
         refuse(turn, refused.request, RefusalReason::Overload, refused.retryAfter);
         return;
     }
-    if (refused.reason == NotGranted::Why::NotScheduler
+    if (refused.reason == NotGranted::Reason::NotScheduler
         && ++request.wrongSchedulerReplies > MaxWrongSchedulerReplies) {
         request.wrongSchedulerReplies = 0;
         placeLocally(turn, refused.request, request);
--- a/src/requests/reservations.cpp
+++ b/src/requests/reservations.cpp
@@ -180,7 +180,7 @@
     const std::string state = stringMember(found, "state");
     m_entries.erase(request);
     return ReservedByOther {request, state == "done",
-                            state == "running" && turn.members.mayLive(owner)};
+                            state == "running" && turn.members.mayBeAlive(owner)};
 }
 
 void Reservations::handleEndAnswer(Turn &turn, RequestNumber request, Entry &entry,
