--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -29,22 +29,22 @@
 };
 static_assert(std::size(HistogramNames) == static_cast<std::size_t>(Histogram::Size));
 
-/** From a tenth of a millisecond to a hundred seconds, four buckets to a factor of ten. */
-constexpr unsigned Buckets = 24;
-constexpr double LeastSeconds = 1e-4;
-constexpr double MostSeconds = 100;
+/** Four buckets per decade, from 0.1 ms to 100 s. */
+constexpr unsigned BucketCount = 24;
+constexpr double MinSeconds = 1e-4;
+constexpr double MaxSeconds = 100;
 
 auto makeHistogram()
 {
     using Axis = bh::axis::regular<double, bh::axis::transform::log>;
-    return bh::make_histogram(Axis(Buckets, LeastSeconds, MostSeconds));
+    return bh::make_histogram(Axis(BucketCount, MinSeconds, MaxSeconds));
 }
 
 } // namespace
 
 struct Metrics::Histograms
 {
-    std::vector<decltype(makeHistogram())> all;
+    std::vector<decltype(makeHistogram())> histograms;
     std::vector<double> sums;
 };
 
@@ -58,7 +58,7 @@
     , m_histograms(std::make_unique<Histograms>())
 {
     for (std::size_t i = 0; i < static_cast<std::size_t>(Histogram::Size); ++i) {
-        m_histograms->all.push_back(makeHistogram());
+        m_histograms->histograms.push_back(makeHistogram());
         m_histograms->sums.push_back(0);
     }
 }
@@ -74,7 +74,7 @@
 {
     const double seconds = std::chrono::duration<double>(effect.value).count();
     const auto index = static_cast<std::size_t>(effect.histogram);
-    m_histograms->all[index](seconds);
+    m_histograms->histograms[index](seconds);
     m_histograms->sums[index] += seconds;
 }
 
@@ -93,14 +93,14 @@
     for (const auto &[name, value] : gauges) {
         text += fmt::format("# TYPE indigoway_{0} gauge\nindigoway_{0} {1:.0f}\n", name, value);
     }
-    for (std::size_t i = 0; i < m_histograms->all.size(); ++i) {
-        const auto &histogram = m_histograms->all[i];
+    for (std::size_t i = 0; i < m_histograms->histograms.size(); ++i) {
+        const auto &histogram = m_histograms->histograms[i];
         const char *name = HistogramNames[i];
         text += fmt::format("# TYPE indigoway_{} histogram\n", name);
         double count = 0;
         for (auto &&bin : bh::indexed(histogram, bh::coverage::all)) {
             count += *bin;
-            if (bin.index() < 0 || static_cast<unsigned>(bin.index()) >= Buckets) {
+            if (bin.index() < 0 || static_cast<unsigned>(bin.index()) >= BucketCount) {
                 continue;
             }
             text += fmt::format("indigoway_{}_bucket{{le=\"{:.6g}\"}} {}\n", name,
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -9,7 +9,7 @@
 
 namespace indigoway {
 
-/** Counters and histograms of one node, in Prometheus' text format. */
+/** Keeps the counters and histograms of one node and exports them to Prometheus. */
 class Metrics
 {
 public:
@@ -21,7 +21,11 @@
     void add(const CountUp &effect);
     void add(const Observe &effect);
     std::uint64_t value(Counter counter) const;
-    /** The exposition; @p gauges are added with their present values. */
+    /**
+     * Returns all metrics in the Prometheus text format.
+     *
+     * @param gauges Names, without the prefix "indigoway_", and current values to add.
+     */
     std::string text(const std::vector<std::pair<std::string, double>> &gauges) const;
 
 private:
@@ -31,7 +35,7 @@
     std::unique_ptr<Histograms> m_histograms;
 };
 
-/** The counter's name without its prefix, as operators see it. */
+/** Returns the exported name of @p counter without "indigoway_" and "_total". */
 const char *counterName(Counter counter);
 
 } // namespace indigoway
--- a/src/settings/flagset.cpp
+++ b/src/settings/flagset.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-constexpr int UsageError = 2;
+constexpr int UsageExitStatus = 2;
 
-std::string assign(const std::string &name, const std::string &value, const std::string &source)
+/** Sets a flag. Returns an error message that begins with @p source, or an empty string. */
+std::string setFlag(const std::string &name, const std::string &value, const std::string &source)
 {
     std::string error;
     if (absl::FindCommandLineFlag(name)->ParseFrom(value, &error)) {
         return {};
     }
-    return source + ": " + (error.empty() ? "\"" + value + "\" is not a value for it" : error);
+    return source + ": " + (error.empty() ? "invalid value \"" + value + "\"" : error);
 }
 
 } // namespace
@@ -44,88 +45,88 @@
 
 std::variant<CommandLine, CommandLineFaults> FlagSet::parse(int argc, char **argv) const
 {
-    CommandLine line;
-    CommandLineFaults wrong;
-    const auto note = [&](const std::string &fault) {
+    CommandLine commandLine;
+    CommandLineFaults invalid;
+    const auto addFault = [&](const std::string &fault) {
         if (!fault.empty()) {
-            wrong.faults.push_back(fault);
+            invalid.faults.push_back(fault);
         }
     };
     for (const std::string &flag : m_flags) {
-        const std::string variable = environmentName(flag);
-        if (const char *value = std::getenv(variable.c_str())) {
-            note(assign(flag, value, variable));
+        const std::string environmentVariable = environmentName(flag);
+        if (const char *value = std::getenv(environmentVariable.c_str())) {
+            addFault(setFlag(flag, value, environmentVariable));
         }
     }
     for (int i = 1; i < argc; ++i) {
-        const std::string word = argv[i];
-        if (!word.starts_with("--") || word == "--") {
-            line.words.push_back(word);
+        const std::string argument = argv[i];
+        if (!argument.starts_with("--") || argument == "--") {
+            commandLine.positionalArguments.push_back(argument);
             continue;
         }
-        const std::size_t equals = word.find('=');
-        std::string name = word.substr(2, equals == std::string::npos ? equals : equals - 2);
+        const std::size_t equals = argument.find('=');
+        std::string name = argument.substr(2, equals == std::string::npos ? equals : equals - 2);
         std::replace(name.begin(), name.end(), '-', '_');
         if (name == "help_markdown") {
-            line.wantsMarkdown = true;
+            commandLine.wantsMarkdown = true;
             continue;
         }
         if (name == "version") {
-            line.wantsVersion = true;
+            commandLine.wantsVersion = true;
             continue;
         }
         if (name == "help") {
-            line.wantsHelp = true;
+            commandLine.wantsHelp = true;
             continue;
         }
         if (std::find(m_flags.begin(), m_flags.end(), name) == m_flags.end()) {
-            note("there is no setting --" + name);
+            addFault("unknown setting --" + name);
             continue;
         }
         if (equals != std::string::npos) {
-            note(assign(name, word.substr(equals + 1), "--" + name));
+            addFault(setFlag(name, argument.substr(equals + 1), "--" + name));
         } else if (absl::FindCommandLineFlag(name)->IsOfType<bool>()) {
-            note(assign(name, "true", "--" + name));
+            addFault(setFlag(name, "true", "--" + name));
         } else if (i + 1 < argc) {
-            note(assign(name, argv[++i], "--" + name));
+            addFault(setFlag(name, argv[++i], "--" + name));
         } else {
-            note("--" + name + " needs a value");
+            addFault("--" + name + " requires a value");
         }
     }
-    if (!wrong.faults.empty() && !line.wantsHelp) {
-        return wrong;
+    if (!invalid.faults.empty() && !commandLine.wantsHelp) {
+        return invalid;
     }
-    return line;
+    return commandLine;
 }
 
 CommandLineFaults FlagSet::parseFile(const std::string &text, const std::string &path) const
 {
-    CommandLineFaults wrong;
-    std::istringstream lines(text);
+    CommandLineFaults invalid;
+    std::istringstream stream(text);
     std::string line;
-    for (int number = 1; std::getline(lines, line); ++number) {
+    for (int lineNumber = 1; std::getline(stream, line); ++lineNumber) {
         const std::size_t equals = line.find('=');
         if (line.empty() || line.front() == '#') {
             continue;
         }
-        const std::string place = path + ":" + std::to_string(number);
+        const std::string location = path + ":" + std::to_string(lineNumber);
         const std::string name = line.substr(0, equals);
         if (equals == std::string::npos
             || std::find(m_flags.begin(), m_flags.end(), name) == m_flags.end()) {
-            wrong.faults.push_back(
-                std::string(place).append(": there is no setting \"").append(name).append("\""));
+            invalid.faults.push_back(
+                std::string(location).append(": unknown setting \"").append(name).append("\""));
             continue;
         }
         const std::string value = line.substr(equals + 1);
         if (value.empty()) {
             continue;
         }
-        const std::string fault = assign(name, value, place);
+        const std::string fault = setFlag(name, value, location);
         if (!fault.empty()) {
-            wrong.faults.push_back(fault);
+            invalid.faults.push_back(fault);
         }
     }
-    return wrong;
+    return invalid;
 }
 
 std::string FlagSet::help() const
@@ -153,27 +154,27 @@
 std::vector<std::string> parseOrExit(const FlagSet &flags, int argc, char **argv)
 {
     auto parsed = flags.parse(argc, argv);
-    if (const auto *wrong = std::get_if<CommandLineFaults>(&parsed)) {
-        for (const std::string &fault : wrong->faults) {
+    if (const auto *invalid = std::get_if<CommandLineFaults>(&parsed)) {
+        for (const std::string &fault : invalid->faults) {
             std::fprintf(stderr, "%s\n", fault.c_str());
         }
         std::fprintf(stderr, "--help lists the settings\n");
-        std::exit(UsageError);
+        std::exit(UsageExitStatus);
     }
-    const auto &line = std::get<CommandLine>(parsed);
-    if (line.wantsVersion) {
+    const auto &commandLine = std::get<CommandLine>(parsed);
+    if (commandLine.wantsVersion) {
         std::printf("indigoway %s\n", programVersion().c_str());
         std::exit(0);
     }
-    if (line.wantsMarkdown) {
+    if (commandLine.wantsMarkdown) {
         std::printf("%s", flags.markdown().c_str());
         std::exit(0);
     }
-    if (line.wantsHelp) {
+    if (commandLine.wantsHelp) {
         std::printf("%s", flags.help().c_str());
         std::exit(0);
     }
-    return line.words;
+    return commandLine.positionalArguments;
 }
 
 } // namespace indigoway
--- a/src/settings/flagset.h
+++ b/src/settings/flagset.h
@@ -6,41 +6,50 @@
 
 namespace indigoway {
 
-/** What a command line held besides flags. */
+/** Positional arguments and the options that all programs share. */
 struct CommandLine
 {
-    std::vector<std::string> words;
+    std::vector<std::string> positionalArguments;
     bool wantsHelp = false;
     bool wantsVersion = false;
-    bool wantsMarkdown = false; ///< The settings as rows for docs/SETTINGS.md.
+    bool wantsMarkdown = false; ///< Print the settings as rows of docs/SETTINGS.md.
 };
 
-/** All that is wrong with a command line and its environment. */
+/** Errors in a command line, the environment or a settings file. */
 struct CommandLineFaults
 {
     std::vector<std::string> faults;
 };
 
 /**
- * A program's Abseil flags, each also read from an environment variable. Abseil's own parser
- * stops at the first fault; this one names them all, which is what an operator wants of a start
- * that fails at night.
+ * Parses a program's Abseil flags from the command line, environment variables and files. In
+ * contrast to Abseil's own parser, it reports all errors and not just the first.
  */
 class FlagSet
 {
 public:
-    /** @p flags are names of Abseil flags of this program. */
+    /**
+     * @param usage First lines of the help text.
+     * @param flags Names of Abseil flags that the program defines.
+     */
     FlagSet(std::string usage, std::vector<std::string> flags);
 
-    /** Environment first, then the command line, which wins. */
+    /**
+     * Reads the environment, then the command line, which takes precedence.
+     *
+     * @return All errors, unless there are none or help is requested.
+     */
     std::variant<CommandLine, CommandLineFaults> parse(int argc, char **argv) const;
     /**
-     * Settings from a file: one NAME=VALUE a line, # begins a comment, an empty value keeps the
-     * default. For settings that may change while the program runs.
+     * Reads settings from the text of a file: one NAME=VALUE per line. Lines that start with #
+     * are ignored, and an empty value leaves the setting unchanged.
+     *
+     * @param path Name of the file in error messages.
      */
     CommandLineFaults parseFile(const std::string &text, const std::string &path) const;
+    /** Returns the text that --help prints. */
     std::string help() const;
-    /** One row per flag for docs/SETTINGS.md. */
+    /** Returns one table row per flag for docs/SETTINGS.md. */
     std::string markdown() const;
 
 private:
@@ -48,14 +57,17 @@
     std::vector<std::string> m_flags;
 };
 
-/** Of the programs of this build, as their start lines and --version tell it. */
+/** Returns the version of this build, which --version prints. */
 std::string programVersion();
 
-/** "INDIGOWAY_" and the flag's name in capitals. */
+/** Returns "INDIGOWAY_" followed by the name of @p flag in upper case. */
 std::string environmentName(const std::string &flag);
 
 /**
- * Parses or ends the process: help or version with 0, faults, listed all at once, with 2.
+ * Parses the command line. Exits with status 0 after printing help or version, and with status 2
+ * after printing all errors.
+ *
+ * @return The positional arguments.
  */
 std::vector<std::string> parseOrExit(const FlagSet &flags, int argc, char **argv);
 
--- a/tests/platform/platformdialecttest.cpp
+++ b/tests/platform/platformdialecttest.cpp
@@ -30,7 +30,7 @@
     return request;
 }
 
-StartCall callOf(CallKind kind)
+StartCall makeCall(CallKind kind)
 {
     StartCall call;
     call.kind = kind;
@@ -41,7 +41,7 @@
     return call;
 }
 
-std::string headerOf(const ServerRequest &request, const std::string &name)
+std::string headerValue(const ServerRequest &request, const std::string &name)
 {
     std::string found = "none";
     int count = 0;
@@ -60,28 +60,28 @@
 class PlatformDialectTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlatformDialectTest);
-    CPPUNIT_TEST(readsWhatACallerAsksFor);
-    CPPUNIT_TEST(passesARequestOnUnchanged);
-    CPPUNIT_TEST(callersCannotSetTheSystemsHeaders);
-    CPPUNIT_TEST(spellsTheCallsOfAGeneration);
-    CPPUNIT_TEST(spellsAnOrder);
-    CPPUNIT_TEST(aKeyGoesNoFurtherThanItsDigest);
-    CPPUNIT_TEST(whatIsNoKeyIsNobodys);
-    CPPUNIT_TEST(serversLearnTheOrganisationFromTheSystemOnly);
-    CPPUNIT_TEST(readsOrganisations);
-    CPPUNIT_TEST(organisationsThatCannotBeReadOpenNothing);
-    CPPUNIT_TEST(goesOnAfterTheLastEvent);
-    CPPUNIT_TEST(tellsAnAnswerFromAnother);
-    CPPUNIT_TEST(readsGrants);
-    CPPUNIT_TEST(readsTheDesiredState);
-    CPPUNIT_TEST(readsAServer);
-    CPPUNIT_TEST(eachStartOfAServerIsALifeOfItsOwn);
-    CPPUNIT_TEST(entriesOfOtherWritersNameNoServer);
-    CPPUNIT_TEST(noEntryOfAnyShapeStopsTheNode);
+    CPPUNIT_TEST(decodesACallerRequest);
+    CPPUNIT_TEST(forwardsARequestUnchanged);
+    CPPUNIT_TEST(removesReservedHeadersOfCallers);
+    CPPUNIT_TEST(encodesTheCallsOfAGeneration);
+    CPPUNIT_TEST(encodesAnOrder);
+    CPPUNIT_TEST(doesNotForwardApiKeys);
+    CPPUNIT_TEST(rejectsMalformedApiKeys);
+    CPPUNIT_TEST(sendsOnlyTheAuthenticatedOrganisation);
+    CPPUNIT_TEST(decodesOrganisations);
+    CPPUNIT_TEST(malformedOrganisationsGrantNoAccess);
+    CPPUNIT_TEST(sendsTheLastEventId);
+    CPPUNIT_TEST(matchesAnswersToRequests);
+    CPPUNIT_TEST(decodesGrants);
+    CPPUNIT_TEST(decodesTheDesiredState);
+    CPPUNIT_TEST(decodesAServer);
+    CPPUNIT_TEST(restartedServerGetsANewName);
+    CPPUNIT_TEST(rejectsInvalidServerEntries);
+    CPPUNIT_TEST(decodesOrRejectsAnyBytes);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsWhatACallerAsksFor()
+    void decodesACallerRequest()
     {
         const auto request = m_dialect.readRequest(callerRequest().head);
         CPPUNIT_ASSERT_EQUAL(std::string("id1"), request.callerId);
@@ -96,24 +96,25 @@
         CPPUNIT_ASSERT_EQUAL(0U, m_dialect.readRequest(bare).promptTokens);
     }
 
-    void passesARequestOnUnchanged()
+    void forwardsARequestUnchanged()
     {
         const CallerRequest origin = callerRequest();
-        const ServerRequest request = m_dialect.writeCall(callOf(CallKind::Plain), &origin, {});
+        const ServerRequest request = m_dialect.writeCall(makeCall(CallKind::Plain), &origin, {});
         CPPUNIT_ASSERT_EQUAL(origin.head.method, request.method);
         CPPUNIT_ASSERT_EQUAL(origin.head.target, request.target);
         CPPUNIT_ASSERT_EQUAL(origin.body, request.body);
-        CPPUNIT_ASSERT_EQUAL(std::string("kept"), headerOf(request, "X-Other"));
-        CPPUNIT_ASSERT_EQUAL(std::string("id1"), headerOf(request, "Indigoway-Request-Id"));
-        CPPUNIT_ASSERT_EQUAL(std::string("1234"), headerOf(request, "Indigoway-Request-Deadline"));
-        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), headerOf(request, "Indigoway-Expect-Instance"));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), headerOf(request, "Connection"));
-        CPPUNIT_ASSERT_EQUAL(std::string("none"), headerOf(request, "Content-Length"));
+        CPPUNIT_ASSERT_EQUAL(std::string("kept"), headerValue(request, "X-Other"));
+        CPPUNIT_ASSERT_EQUAL(std::string("id1"), headerValue(request, "Indigoway-Request-Id"));
+        CPPUNIT_ASSERT_EQUAL(std::string("1234"),
+                             headerValue(request, "Indigoway-Request-Deadline"));
+        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), headerValue(request, "Indigoway-Expect-Instance"));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), headerValue(request, "Connection"));
+        CPPUNIT_ASSERT_EQUAL(std::string("none"), headerValue(request, "Content-Length"));
     }
 
-    // A caller sends the headers with which nodes take over another run, or reserve memory. If
-    // they went through, it could go on from somebody else's memory, or hold an engine's.
-    void callersCannotSetTheSystemsHeaders()
+    // Forwarding these headers would let a caller read another request's KV cache or occupy the
+    // memory of an engine.
+    void removesReservedHeadersOfCallers()
     {
         CallerRequest origin = callerRequest();
         for (const char *name :
@@ -123,44 +124,45 @@
             origin.head.headers.emplace_back(name, "forged");
         }
         origin.head.headers.emplace_back("Indigoway-Expect-Instance", "forged");
-        const ServerRequest request = m_dialect.writeCall(callOf(CallKind::Whole), &origin, {});
+        const ServerRequest request = m_dialect.writeCall(makeCall(CallKind::Whole), &origin, {});
         for (const auto &[name, value] : request.headers) {
             CPPUNIT_ASSERT(value != "forged");
         }
     }
 
-    void spellsTheCallsOfAGeneration()
+    void encodesTheCallsOfAGeneration()
     {
         const CallerRequest origin = callerRequest();
-        StartCall reserve = callOf(CallKind::Reserve);
+        StartCall reserve = makeCall(CallKind::Reserve);
         reserve.reserveTokens = 5000;
         reserve.reserveFor = std::chrono::milliseconds(2000);
         const ServerRequest reserveRequest = m_dialect.writeCall(reserve, nullptr, {});
         CPPUNIT_ASSERT_EQUAL(std::string("/hold-take"), reserveRequest.target);
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"tokens":5000,"ttl_ms":2000})"), reserveRequest.body);
-        const ServerRequest prefill = m_dialect.writeCall(callOf(CallKind::Prefill), &origin, {});
-        CPPUNIT_ASSERT_EQUAL(std::string("prefill"), headerOf(prefill, "Indigoway-Serving-Phase"));
-        StartCall decode = callOf(CallKind::Decode);
+        const ServerRequest prefill = m_dialect.writeCall(makeCall(CallKind::Prefill), &origin, {});
+        CPPUNIT_ASSERT_EQUAL(std::string("prefill"),
+                             headerValue(prefill, "Indigoway-Serving-Phase"));
+        StartCall decode = makeCall(CallKind::Decode);
         decode.handle = "h1";
         decode.handleAddress = "10.0.0.9:81";
         decode.reservation = "r1";
         const ServerRequest decodeRequest = m_dialect.writeCall(decode, &origin, {});
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.9:81/h1"),
-                             headerOf(decodeRequest, "Indigoway-Kv-Source"));
-        CPPUNIT_ASSERT_EQUAL(std::string("r1"), headerOf(decodeRequest, "Indigoway-Kv-Hold"));
-        StartCall free = callOf(CallKind::FreeHandle);
+                             headerValue(decodeRequest, "Indigoway-Kv-Source"));
+        CPPUNIT_ASSERT_EQUAL(std::string("r1"), headerValue(decodeRequest, "Indigoway-Kv-Hold"));
+        StartCall free = makeCall(CallKind::FreeHandle);
         free.handle = "h1";
         CPPUNIT_ASSERT_EQUAL(std::string("/kv-handle/h1"),
                              m_dialect.writeCall(free, nullptr, {}).target);
-        StartCall drop = callOf(CallKind::Unreserve);
+        StartCall drop = makeCall(CallKind::Unreserve);
         drop.reservation = "r1";
         CPPUNIT_ASSERT_EQUAL(std::string("/hold-drop/r1"),
                              m_dialect.writeCall(drop, nullptr, {}).target);
     }
 
-    void spellsAnOrder()
+    void encodesAnOrder()
     {
-        StartCall order = callOf(CallKind::Order);
+        StartCall order = makeCall(CallKind::Order);
         order.orderedPhase = EnginePhase::Decode;
         order.fencingToken = 41;
         order.ordersTaken = 3;
@@ -169,10 +171,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"expected":3,"fence_token":41,"holder":"n1",)"
                                          R"("operation":"phase","phase":"decode"})"),
                              request.body);
-        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), headerOf(request, "Indigoway-Expect-Instance"));
+        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), headerValue(request, "Indigoway-Expect-Instance"));
     }
 
-    void aKeyGoesNoFurtherThanItsDigest()
+    void doesNotForwardApiKeys()
     {
         CallerRequest origin = callerRequest();
         CPPUNIT_ASSERT(!m_dialect.readRequest(origin.head).credentials.key);
@@ -181,13 +183,13 @@
         for (const CallKind kind :
              {CallKind::Plain, CallKind::Prefill, CallKind::Decode, CallKind::Whole}) {
             for (const auto &[name, value] :
-                 m_dialect.writeCall(callOf(kind), &origin, {}).headers) {
+                 m_dialect.writeCall(makeCall(kind), &origin, {}).headers) {
                 CPPUNIT_ASSERT(value != "secret");
             }
         }
     }
 
-    void whatIsNoKeyIsNobodys()
+    void rejectsMalformedApiKeys()
     {
         for (const std::vector<std::string> &keys : std::vector<std::vector<std::string>> {
                  {""}, {"a b"}, {"a,b"}, {"a", "a"}, {"a", "b"}, {"", "a"}}) {
@@ -199,26 +201,25 @@
         }
     }
 
-    // A caller names another organisation, to be served on its behalf. Servers hear only of the
-    // one whose key was shown, in each call that carries the request's bytes.
-    void serversLearnTheOrganisationFromTheSystemOnly()
+    // A caller must not be able to act for another organisation by setting the header itself.
+    void sendsOnlyTheAuthenticatedOrganisation()
     {
         CallerRequest origin = callerRequest();
         origin.head.headers.emplace_back("indigoway-tenant-id", "forged");
         for (const CallKind kind :
              {CallKind::Plain, CallKind::Prefill, CallKind::Decode, CallKind::Whole}) {
-            StartCall call = callOf(kind);
+            StartCall call = makeCall(kind);
             CPPUNIT_ASSERT_EQUAL(
                 std::string("none"),
-                headerOf(m_dialect.writeCall(call, &origin, {}), "Indigoway-Tenant-Id"));
+                headerValue(m_dialect.writeCall(call, &origin, {}), "Indigoway-Tenant-Id"));
             call.organisation = OrganisationName("o1");
             CPPUNIT_ASSERT_EQUAL(
                 std::string("o1"),
-                headerOf(m_dialect.writeCall(call, &origin, {}), "Indigoway-Tenant-Id"));
+                headerValue(m_dialect.writeCall(call, &origin, {}), "Indigoway-Tenant-Id"));
         }
     }
 
-    void readsOrganisations()
+    void decodesOrganisations()
     {
         const auto decoded = m_codec.decodeRouting(R"({"version":7,
             "routes":[{"name":"r","host":"h","prefix":"/","kind":"idempotent","public":true}],
@@ -241,9 +242,8 @@
         CPPUNIT_ASSERT(!std::get<RoutingState>(none).wantsKeys);
     }
 
-    // The organisations have another form than expected. Taken for none at all, they would let
-    // everybody in.
-    void organisationsThatCannotBeReadOpenNothing()
+    // If malformed organisations counted as none, requests without a key would be accepted.
+    void malformedOrganisationsGrantNoAccess()
     {
         for (const char *organisations :
              {R"([7])", R"([{"name":3}])", R"([{"name":"o","api_keys":"k"}])",
@@ -260,17 +260,17 @@
         }
     }
 
-    void goesOnAfterTheLastEvent()
+    void sendsTheLastEventId()
     {
         CallerRequest origin = callerRequest();
         origin.head.headers.emplace_back("Last-Event-Id", "3");
-        const ServerRequest own = m_dialect.writeCall(callOf(CallKind::Whole), &origin, "17");
-        CPPUNIT_ASSERT_EQUAL(std::string("17"), headerOf(own, "Last-Event-Id"));
-        const ServerRequest callers = m_dialect.writeCall(callOf(CallKind::Whole), &origin, {});
-        CPPUNIT_ASSERT_EQUAL(std::string("3"), headerOf(callers, "Last-Event-Id"));
+        const ServerRequest own = m_dialect.writeCall(makeCall(CallKind::Whole), &origin, "17");
+        CPPUNIT_ASSERT_EQUAL(std::string("17"), headerValue(own, "Last-Event-Id"));
+        const ServerRequest callers = m_dialect.writeCall(makeCall(CallKind::Whole), &origin, {});
+        CPPUNIT_ASSERT_EQUAL(std::string("3"), headerValue(callers, "Last-Event-Id"));
     }
 
-    void tellsAnAnswerFromAnother()
+    void matchesAnswersToRequests()
     {
         MessageHead head;
         head.status = 200;
@@ -292,7 +292,7 @@
         CPPUNIT_ASSERT(m_dialect.readAnswer(head).isNotExecuted);
     }
 
-    void readsGrants()
+    void decodesGrants()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("r"),
                              m_dialect.readGrant(CallKind::Reserve, R"({"hold":"r"})").reservation);
@@ -302,7 +302,7 @@
         CPPUNIT_ASSERT(m_dialect.readGrant(CallKind::Reserve, "{\"hold\":").reservation.empty());
     }
 
-    void readsTheDesiredState()
+    void decodesTheDesiredState()
     {
         const auto decoded = m_codec.decodeRouting(R"({"version":7,"routes":[
             {"name":"r1","host":"F.example","prefix":"/p/","kind":"streaming","timeout_ms":14000,
@@ -333,7 +333,7 @@
         CPPUNIT_ASSERT(std::holds_alternative<DecodeFault>(m_codec.decodeRouting("nonsense")));
     }
 
-    void readsAServer()
+    void decodesAServer()
     {
         const auto decoded = m_codec.decodeServer(
             "i-1", R"({"service":"a","address":"10.1.1.1:80","zone":"z","version":"v1",
@@ -346,9 +346,9 @@
         CPPUNIT_ASSERT(std::holds_alternative<DecodeFault>(m_codec.decodeServer("i-2", "{}")));
     }
 
-    // A server starts again under its id. If it were taken for the same, memory that its earlier
-    // life had given out would count as used, and its failures, until they lapsed one by one.
-    void eachStartOfAServerIsALifeOfItsOwn()
+    // If a restarted server kept its name, reservations and failures from before the restart would
+    // still count against it.
+    void restartedServerGetsANewName()
     {
         Json::Value entry = validEntry();
         entry["born"] = Json::UInt64(1'764'000'000'001);
@@ -364,24 +364,23 @@
                 .report->startedAt);
     }
 
-    // Something else writes into the servers' part of the store. A request that went to what such
-    // an entry names would fail, or run where no desired state allows it.
-    void entriesOfOtherWritersNameNoServer()
+    // Requests must not be sent to an address from an entry that no backend server has written.
+    void rejectsInvalidServerEntries()
     {
-        CPPUNIT_ASSERT(isReadable(validEntry()));
+        CPPUNIT_ASSERT(isValid(validEntry()));
         for (const char *name : {"service", "address", "zone", "version", "capacity", "state",
                                  "warmup_ms", "sequence"}) {
             Json::Value missing = validEntry();
             missing.removeMember(name);
-            CPPUNIT_ASSERT_MESSAGE(name, !isReadable(missing));
-            for (const Json::Value &other :
+            CPPUNIT_ASSERT_MESSAGE(name, !isValid(missing));
+            for (const Json::Value &replacement :
                  {Json::Value(true), Json::Value(Json::arrayValue), Json::Value(-1),
                   Json::Value(std::string()), Json::Value(1e300)}) {
                 Json::Value entry = validEntry();
-                entry[name] = other;
+                entry[name] = replacement;
                 const bool isTime = std::string(name) == "warmup_ms";
-                const bool isLongTime = isTime && other.isDouble();
-                CPPUNIT_ASSERT_MESSAGE(name, isLongTime || !isReadable(entry));
+                const bool isValidTime = isTime && replacement.isDouble();
+                CPPUNIT_ASSERT_MESSAGE(name, isValidTime || !isValid(entry));
             }
         }
         for (const auto &[name, value] :
@@ -395,16 +394,16 @@
                                                                 {"address", "h:99999"}}) {
             Json::Value entry = validEntry();
             entry[name] = value;
-            CPPUNIT_ASSERT_MESSAGE(name, !isReadable(entry));
+            CPPUNIT_ASSERT_MESSAGE(name, !isValid(entry));
         }
         for (const char *text : {"", "[]", "7", "\"x\"", "{\"service\":", "\xff\xfe{", "null"}) {
             CPPUNIT_ASSERT(std::holds_alternative<DecodeFault>(m_codec.decodeServer("i", text)));
         }
     }
 
-    void noEntryOfAnyShapeStopsTheNode()
+    void decodesOrRejectsAnyBytes()
     {
-        const bool isProven = rc::check("any bytes are decoded or refused", [this] {
+        const bool hasPassed = rc::check("any bytes are decoded or rejected", [this] {
             Json::Value entry = validEntry();
             const auto names = entry.getMemberNames();
             const auto name = names[*rc::gen::inRange<std::size_t>(0, names.size())];
@@ -434,7 +433,7 @@
             (void)m_codec.decodeRouting(text);
             (void)m_dialect.readGrant(CallKind::Report, text);
         });
-        CPPUNIT_ASSERT(isProven);
+        CPPUNIT_ASSERT(hasPassed);
     }
 
 private:
@@ -453,7 +452,7 @@
         return entry;
     }
 
-    bool isReadable(const Json::Value &entry) const
+    bool isValid(const Json::Value &entry) const
     {
         return std::holds_alternative<AnnouncedServer>(
             m_codec.decodeServer("i-1", jsonText(entry)));
--- a/tests/settings/flagsettest.cpp
+++ b/tests/settings/flagsettest.cpp
@@ -13,23 +13,23 @@
 class FlagSetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FlagSetTest);
-    CPPUNIT_TEST(listsAllFaultsAtOnce);
-    CPPUNIT_TEST(theCommandLineWinsOverTheEnvironment);
-    CPPUNIT_TEST(theVersionIsAsked);
-    CPPUNIT_TEST(thePageOfSettingsIsThePrograms);
+    CPPUNIT_TEST(reportsAllFaults);
+    CPPUNIT_TEST(commandLineTakesPrecedenceOverEnvironment);
+    CPPUNIT_TEST(recognisesTheVersionOption);
+    CPPUNIT_TEST(settingsPageMatchesTheFlags);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::variant<CommandLine, CommandLineFaults> parse(std::vector<std::string> words)
+    static std::variant<CommandLine, CommandLineFaults> parse(std::vector<std::string> arguments)
     {
-        words.insert(words.begin(), "indigowayd");
-        std::vector<char *> arguments;
-        for (std::string &word : words) {
-            arguments.push_back(word.data());
+        arguments.insert(arguments.begin(), "indigowayd");
+        std::vector<char *> argv;
+        for (std::string &argument : arguments) {
+            argv.push_back(argument.data());
         }
-        return daemonFlags().parse(static_cast<int>(arguments.size()), arguments.data());
+        return daemonFlags().parse(static_cast<int>(argv.size()), argv.data());
     }
 
-    void listsAllFaultsAtOnce()
+    void reportsAllFaults()
     {
         const auto parsed = parse({"--most-open=many", "--nonsense=1", "--node"});
         CPPUNIT_ASSERT_EQUAL(std::size_t {3}, std::get<CommandLineFaults>(parsed).faults.size());
@@ -39,7 +39,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t {4}, std::get<CommandLineFaults>(settings).faults.size());
     }
 
-    void theCommandLineWinsOverTheEnvironment()
+    void commandLineTakesPrecedenceOverEnvironment()
     {
         setenv("INDIGOWAY_NODE", "from-environment", 1);
         parse({"--domain=hall-a", "--callers=127.0.0.1:0", "--token=0123456789abcdef"});
@@ -53,18 +53,18 @@
         unsetenv("INDIGOWAY_NODE");
     }
 
-    void theVersionIsAsked()
+    void recognisesTheVersionOption()
     {
         CPPUNIT_ASSERT(std::get<CommandLine>(parse({"--version"})).wantsVersion);
         CPPUNIT_ASSERT(!programVersion().empty());
     }
 
-    void thePageOfSettingsIsThePrograms()
+    void settingsPageMatchesTheFlags()
     {
         std::ifstream file("docs/SETTINGS.md");
         std::ostringstream text;
         text << file.rdbuf();
-        CPPUNIT_ASSERT_MESSAGE("docs/SETTINGS.md must hold these rows:\n"
+        CPPUNIT_ASSERT_MESSAGE("docs/SETTINGS.md must contain these rows:\n"
                                    + daemonFlags().markdown(),
                                text.str().find(daemonFlags().markdown()) != std::string::npos);
     }
