--- a/src/settings/flagset.cpp
+++ b/src/settings/flagset.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int UsageExitStatus = 2;
+constexpr int UsageError = 2;
 
 /** Sets a flag. Returns an error message that begins with @p source, or an empty string. */
 std::string setFlag(const std::string &name, const std::string &value, const std::string &source)
@@ -159,7 +159,7 @@
             std::fprintf(stderr, "%s\n", fault.c_str());
         }
         std::fprintf(stderr, "--help lists the settings\n");
-        std::exit(UsageExitStatus);
+        std::exit(UsageError);
     }
     const auto &commandLine = std::get<CommandLine>(parsed);
     if (commandLine.wantsVersion) {
