--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -174,7 +174,7 @@
     const TrafficCount &peers = m_client.traffic(Traffic::Peers);
     const TrafficCount &store = m_client.traffic(Traffic::Store);
     const TrafficCount &reports = m_client.traffic(Traffic::Reports);
-    return m_metrics.text({
+    return m_metrics.prometheusText({
         {"peer_calls_made", static_cast<double>(peers.calls)},
         {"peer_bytes_sent", static_cast<double>(peers.bytesSent)},
         {"peer_bytes_received", static_cast<double>(peers.bytesReceived)},
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -83,7 +83,7 @@
     return m_counters[static_cast<std::size_t>(counter)];
 }
 
-std::string Metrics::text(const std::vector<std::pair<std::string, double>> &gauges) const
+std::string Metrics::prometheusText(const std::vector<std::pair<std::string, double>> &gauges) const
 {
     std::string text;
     for (std::size_t i = 0; i < m_counters.size(); ++i) {
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -26,7 +26,7 @@
      *
      * @param gauges Names, without the prefix "indigoway_", and current values to add.
      */
-    std::string text(const std::vector<std::pair<std::string, double>> &gauges) const;
+    std::string prometheusText(const std::vector<std::pair<std::string, double>> &gauges) const;
 
 private:
     struct Histograms;
