--- a/src/daemon/daemonsettings.cpp
+++ b/src/daemon/daemonsettings.cpp
@@ -53,18 +53,18 @@
            });
 }
 
-void checkAddress(const char *flag, const std::string &address, CommandLineFaults &wrong)
+void checkAddress(const char *flag, const std::string &address, SettingsErrors &wrong)
 {
     if (!splitAddress(address)) {
-        wrong.faults.push_back(std::string("--") + flag + ": \"" + address
+        wrong.errors.push_back(std::string("--") + flag + ": \"" + address
                                + "\" is not an address (IP:port)");
     }
 }
 
-void checkToken(const char *flag, const std::string &token, CommandLineFaults &wrong)
+void checkToken(const char *flag, const std::string &token, SettingsErrors &wrong)
 {
     if (token.size() < LeastTokenLength) {
-        wrong.faults.push_back(std::string("--") + flag + ": a token needs at least "
+        wrong.errors.push_back(std::string("--") + flag + ": a token needs at least "
                                + std::to_string(LeastTokenLength) + " characters");
     }
 }
@@ -80,18 +80,18 @@
              "keep_seconds", "log_format"}};
 }
 
-std::variant<DaemonSettings, CommandLineFaults> checkedDaemonSettings(std::uint64_t wallClock)
+std::variant<DaemonSettings, SettingsErrors> checkedDaemonSettings(std::uint64_t wallClock)
 {
     DaemonSettings settings;
-    CommandLineFaults wrong;
+    SettingsErrors wrong;
     const std::string name = absl::GetFlag(FLAGS_node);
     if (!isNodeName(name)) {
-        wrong.faults.push_back("--node: must be 1 to 64 letters, digits, - or _");
+        wrong.errors.push_back("--node: must be 1 to 64 letters, digits, - or _");
     }
     settings.node.life = {NodeName(name), Incarnation(wallClock)};
     settings.node.domain = DomainName(absl::GetFlag(FLAGS_domain));
     if (settings.node.domain.isEmpty()) {
-        wrong.faults.emplace_back("--domain: the failure domain must be given");
+        wrong.errors.emplace_back("--domain: the failure domain must be given");
     }
     settings.callers = absl::GetFlag(FLAGS_callers);
     settings.inner = absl::GetFlag(FLAGS_inner);
@@ -107,7 +107,7 @@
     }
     settings.store = listOf(absl::GetFlag(FLAGS_store));
     if (settings.store.empty()) {
-        wrong.faults.emplace_back("--store: at least one address must be given");
+        wrong.errors.emplace_back("--store: at least one address must be given");
     }
     for (const std::string &address : settings.store) {
         checkAddress("store", address, wrong);
@@ -123,7 +123,7 @@
     for (const std::string &entry : listOf(absl::GetFlag(FLAGS_operator_tokens))) {
         const std::size_t colon = entry.find(':');
         if (colon == std::string::npos || colon == 0) {
-            wrong.faults.emplace_back("--operator_tokens: each entry must be name:token");
+            wrong.errors.emplace_back("--operator_tokens: each entry must be name:token");
             continue;
         }
         checkToken("operator_tokens", entry.substr(colon + 1), wrong);
@@ -135,19 +135,19 @@
     settings.limits.idle = std::chrono::seconds(absl::GetFlag(FLAGS_idle_seconds));
     if (settings.node.limits.mostOpen == 0 || settings.limits.bodyBytes == 0
         || settings.limits.idle.count() == 0) {
-        wrong.faults.emplace_back("--most_open, --most_body_kb and --idle_seconds must be above 0");
+        wrong.errors.emplace_back("--most_open, --most_body_kb and --idle_seconds must be above 0");
     }
     const std::uint32_t keep = absl::GetFlag(FLAGS_keep_seconds);
     if (keep == 0 || keep > MostKeepSeconds) {
-        wrong.faults.emplace_back("--keep_seconds: must be from 1 to 600");
+        wrong.errors.emplace_back("--keep_seconds: must be from 1 to 600");
     }
     settings.node.callersKeepList = std::chrono::seconds(keep);
     const std::string format = absl::GetFlag(FLAGS_log_format);
     if (format != "text" && format != "json") {
-        wrong.faults.emplace_back("--log_format: must be text or json");
+        wrong.errors.emplace_back("--log_format: must be text or json");
     }
     settings.logsJson = format == "json";
-    if (!wrong.faults.empty()) {
+    if (!wrong.errors.empty()) {
         return wrong;
     }
     return settings;
--- a/src/daemon/daemonsettings.h
+++ b/src/daemon/daemonsettings.h
@@ -27,7 +27,7 @@
 /** The daemon's flags. */
 FlagSet daemonFlags();
 
-/** Takes the flags as they stand; all faults at once. */
-std::variant<DaemonSettings, CommandLineFaults> checkedDaemonSettings(std::uint64_t wallClock);
+/** Takes the flags as they stand; all errors at once. */
+std::variant<DaemonSettings, SettingsErrors> checkedDaemonSettings(std::uint64_t wallClock);
 
 } // namespace indigoway
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -31,9 +31,9 @@
     const auto wallClock = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
     auto settings = checkedDaemonSettings(static_cast<std::uint64_t>(wallClock.count()));
-    if (const auto *wrong = std::get_if<CommandLineFaults>(&settings)) {
-        for (const std::string &fault : wrong->faults) {
-            std::fprintf(stderr, "%s\n", fault.c_str());
+    if (const auto *wrong = std::get_if<SettingsErrors>(&settings)) {
+        for (const std::string &error : wrong->errors) {
+            std::fprintf(stderr, "%s\n", error.c_str());
         }
         return UsageError;
     }
--- a/src/edge/edgeprocess.cpp
+++ b/src/edge/edgeprocess.cpp
@@ -27,10 +27,10 @@
     return text.str();
 }
 
-[[noreturn]] void exitWithFaults(const CommandLineFaults &invalid)
+[[noreturn]] void exitWithErrors(const SettingsErrors &invalid)
 {
-    for (const std::string &fault : invalid.faults) {
-        std::fprintf(stderr, "%s\n", fault.c_str());
+    for (const std::string &error : invalid.errors) {
+        std::fprintf(stderr, "%s\n", error.c_str());
     }
     std::fprintf(stderr, "--help lists the settings\n");
     std::exit(UsageError);
@@ -44,15 +44,15 @@
     parseOrExit(flags, argc, argv);
     const std::string path = absl::GetFlag(FLAGS_node_file);
     if (!path.empty()) {
-        const CommandLineFaults invalid = flags.parseFile(readFile(path), path);
-        if (!invalid.faults.empty()) {
-            exitWithFaults(invalid);
+        const SettingsErrors invalid = flags.parseFile(readFile(path), path);
+        if (!invalid.errors.empty()) {
+            exitWithErrors(invalid);
         }
         parseOrExit(flags, argc, argv); // The command line overrides the file.
     }
     auto checked = checkedEdgeSettings();
-    if (const auto *invalid = std::get_if<CommandLineFaults>(&checked)) {
-        exitWithFaults(*invalid);
+    if (const auto *invalid = std::get_if<SettingsErrors>(&checked)) {
+        exitWithErrors(*invalid);
     }
     return std::get<EdgeSettings>(checked);
 }
@@ -113,14 +113,14 @@
         return;
     }
     m_settingsText = std::move(text);
-    const CommandLineFaults invalid = edgeFlags().parseFile(m_settingsText, path);
-    for (const std::string &fault : invalid.faults) {
-        m_node->recordFault("settings_unreadable", fault);
+    const SettingsErrors invalid = edgeFlags().parseFile(m_settingsText, path);
+    for (const std::string &error : invalid.errors) {
+        m_node->recordFault("settings_unreadable", error);
     }
     const auto checked = checkedEdgeSettings();
-    if (const auto *faults = std::get_if<CommandLineFaults>(&checked)) {
-        for (const std::string &fault : faults->faults) {
-            m_node->recordFault("settings_unreadable", fault);
+    if (const auto *errors = std::get_if<SettingsErrors>(&checked)) {
+        for (const std::string &error : errors->errors) {
+            m_node->recordFault("settings_unreadable", error);
         }
         return;
     }
--- a/src/edge/edgeprocess.h
+++ b/src/edge/edgeprocess.h
@@ -13,7 +13,7 @@
 
 /**
  * Reads the settings from the environment, the settings file and the command line. If any is
- * invalid, prints all faults to standard error and exits.
+ * invalid, prints all errors to standard error and exits.
  */
 EdgeSettings edgeSettingsOrExit(int argc, char **argv);
 
--- a/src/edge/edgesettings.cpp
+++ b/src/edge/edgesettings.cpp
@@ -61,35 +61,35 @@
     return Duration(static_cast<std::int64_t>(std::llround(seconds * MicrosecondsPerSecond)));
 }
 
-std::string checkedAddress(const char *flag, const std::string &address, CommandLineFaults &invalid)
+std::string checkedAddress(const char *flag, const std::string &address, SettingsErrors &invalid)
 {
     if (!splitAddress(address)) {
-        invalid.faults.push_back(std::string("--") + flag + ": \"" + address
+        invalid.errors.push_back(std::string("--") + flag + ": \"" + address
                                  + "\" is not an address (IP:port)");
     }
     return address;
 }
 
-double checkedPositive(const char *flag, double value, CommandLineFaults &invalid)
+double checkedPositive(const char *flag, double value, SettingsErrors &invalid)
 {
     constexpr double Max = 1e6;
     if (!(value > 0 && value < Max)) {
-        invalid.faults.push_back(std::string("--") + flag + ": must be above 0 and below 1000000");
+        invalid.errors.push_back(std::string("--") + flag + ": must be above 0 and below 1000000");
     }
     return value;
 }
 
-double checkedNotNegative(const char *flag, double value, CommandLineFaults &invalid)
+double checkedNotNegative(const char *flag, double value, SettingsErrors &invalid)
 {
     constexpr double Max = 1e15;
     if (!(value >= 0 && value <= Max)) {
-        invalid.faults.push_back(std::string("--") + flag + ": must be from 0 to 1e15");
+        invalid.errors.push_back(std::string("--") + flag + ": must be from 0 to 1e15");
         return 0;
     }
     return value;
 }
 
-Duration checkedMaxKeyCopyAge(CommandLineFaults &invalid)
+Duration checkedMaxKeyCopyAge(SettingsErrors &invalid)
 {
     constexpr double MillisecondsPerSecond = 1e3;
     // A lower limit would make each failure domain poll the store several times a second.
@@ -97,7 +97,7 @@
     constexpr double Max = 1e9;
     const double age = absl::GetFlag(FLAGS_key_copy_age_ms);
     if (age != 0 && !(age >= Min && age <= Max)) {
-        invalid.faults.emplace_back("--key_copy_age_ms: must be 0, or from 1000 to 1000000000");
+        invalid.errors.emplace_back("--key_copy_age_ms: must be 0, or from 1000 to 1000000000");
         return Duration(0);
     }
     return durationFromSeconds(age / MillisecondsPerSecond);
@@ -118,17 +118,17 @@
          "quota_slack",    "list_kept_s"}};
 }
 
-std::variant<EdgeSettings, CommandLineFaults> checkedEdgeSettings()
+std::variant<EdgeSettings, SettingsErrors> checkedEdgeSettings()
 {
     EdgeSettings settings;
-    CommandLineFaults invalid;
+    SettingsErrors invalid;
     settings.node = NodeName(absl::GetFlag(FLAGS_node));
     if (settings.node.isEmpty()) {
-        invalid.faults.emplace_back("--node: the node's name must be given");
+        invalid.errors.emplace_back("--node: the node's name must be given");
     }
     settings.domain = DomainName(absl::GetFlag(FLAGS_domain));
     if (settings.domain.isEmpty()) {
-        invalid.faults.emplace_back("--domain: the failure domain must be given");
+        invalid.errors.emplace_back("--domain: the failure domain must be given");
     }
     settings.callers = checkedAddress("callers", absl::GetFlag(FLAGS_callers), invalid);
     settings.readiness = checkedAddress("readiness", absl::GetFlag(FLAGS_readiness), invalid);
@@ -158,7 +158,7 @@
         checkedPositive("retry_window_s", absl::GetFlag(FLAGS_retry_window_s), invalid));
     const double slack = absl::GetFlag(FLAGS_retry_slack);
     if (settings.retryRatio < 0 || slack < 0) {
-        invalid.faults.emplace_back("--retry_ratio and --retry_slack: must not be negative");
+        invalid.errors.emplace_back("--retry_ratio and --retry_slack: must not be negative");
     }
     settings.retrySlack = slack < 0 ? 0 : static_cast<std::uint32_t>(slack);
     settings.maxKeyCopyAge = checkedMaxKeyCopyAge(invalid);
@@ -170,7 +170,7 @@
         checkedNotNegative("quota_slack", absl::GetFlag(FLAGS_quota_slack), invalid);
     settings.nodeListTtl = durationFromSeconds(
         checkedPositive("list_kept_s", absl::GetFlag(FLAGS_list_kept_s), invalid));
-    if (!invalid.faults.empty()) {
+    if (!invalid.errors.empty()) {
         return invalid;
     }
     return settings;
--- a/src/edge/edgesettings.h
+++ b/src/edge/edgesettings.h
@@ -42,7 +42,7 @@
 
 FlagSet edgeFlags();
 
-/** Returns the settings from the flags, or the faults of all of them. */
-std::variant<EdgeSettings, CommandLineFaults> checkedEdgeSettings();
+/** Returns the settings from the flags, or the errors in all of them. */
+std::variant<EdgeSettings, SettingsErrors> checkedEdgeSettings();
 
 } // namespace indigoway
--- a/src/settings/flagset.cpp
+++ b/src/settings/flagset.cpp
@@ -43,19 +43,19 @@
     , m_flags(std::move(flags))
 { }
 
-std::variant<CommandLine, CommandLineFaults> FlagSet::parse(int argc, char **argv) const
+std::variant<CommandLine, SettingsErrors> FlagSet::parse(int argc, char **argv) const
 {
     CommandLine commandLine;
-    CommandLineFaults invalid;
-    const auto addFault = [&](const std::string &fault) {
-        if (!fault.empty()) {
-            invalid.faults.push_back(fault);
+    SettingsErrors invalid;
+    const auto addError = [&](const std::string &error) {
+        if (!error.empty()) {
+            invalid.errors.push_back(error);
         }
     };
     for (const std::string &flag : m_flags) {
         const std::string environmentVariable = environmentName(flag);
         if (const char *value = std::getenv(environmentVariable.c_str())) {
-            addFault(setFlag(flag, value, environmentVariable));
+            addError(setFlag(flag, value, environmentVariable));
         }
     }
     for (int i = 1; i < argc; ++i) {
@@ -80,28 +80,28 @@
             continue;
         }
         if (std::find(m_flags.begin(), m_flags.end(), name) == m_flags.end()) {
-            addFault("unknown setting --" + name);
+            addError("unknown setting --" + name);
             continue;
         }
         if (equals != std::string::npos) {
-            addFault(setFlag(name, argument.substr(equals + 1), "--" + name));
+            addError(setFlag(name, argument.substr(equals + 1), "--" + name));
         } else if (absl::FindCommandLineFlag(name)->IsOfType<bool>()) {
-            addFault(setFlag(name, "true", "--" + name));
+            addError(setFlag(name, "true", "--" + name));
         } else if (i + 1 < argc) {
-            addFault(setFlag(name, argv[++i], "--" + name));
+            addError(setFlag(name, argv[++i], "--" + name));
         } else {
-            addFault("--" + name + " requires a value");
+            addError("--" + name + " requires a value");
         }
     }
-    if (!invalid.faults.empty() && !commandLine.wantsHelp) {
+    if (!invalid.errors.empty() && !commandLine.wantsHelp) {
         return invalid;
     }
     return commandLine;
 }
 
-CommandLineFaults FlagSet::parseFile(const std::string &text, const std::string &path) const
+SettingsErrors FlagSet::parseFile(const std::string &text, const std::string &path) const
 {
-    CommandLineFaults invalid;
+    SettingsErrors invalid;
     std::istringstream stream(text);
     std::string line;
     for (int lineNumber = 1; std::getline(stream, line); ++lineNumber) {
@@ -113,7 +113,7 @@
         const std::string name = line.substr(0, equals);
         if (equals == std::string::npos
             || std::find(m_flags.begin(), m_flags.end(), name) == m_flags.end()) {
-            invalid.faults.push_back(
+            invalid.errors.push_back(
                 std::string(location).append(": unknown setting \"").append(name).append("\""));
             continue;
         }
@@ -121,9 +121,9 @@
         if (value.empty()) {
             continue;
         }
-        const std::string fault = setFlag(name, value, location);
-        if (!fault.empty()) {
-            invalid.faults.push_back(fault);
+        const std::string error = setFlag(name, value, location);
+        if (!error.empty()) {
+            invalid.errors.push_back(error);
         }
     }
     return invalid;
@@ -154,9 +154,9 @@
 std::vector<std::string> parseOrExit(const FlagSet &flags, int argc, char **argv)
 {
     auto parsed = flags.parse(argc, argv);
-    if (const auto *invalid = std::get_if<CommandLineFaults>(&parsed)) {
-        for (const std::string &fault : invalid->faults) {
-            std::fprintf(stderr, "%s\n", fault.c_str());
+    if (const auto *invalid = std::get_if<SettingsErrors>(&parsed)) {
+        for (const std::string &error : invalid->errors) {
+            std::fprintf(stderr, "%s\n", error.c_str());
         }
         std::fprintf(stderr, "--help lists the settings\n");
         std::exit(UsageError);
--- a/src/settings/flagset.h
+++ b/src/settings/flagset.h
@@ -16,9 +16,9 @@
 };
 
 /** Errors in a command line, the environment or a settings file. */
-struct CommandLineFaults
+struct SettingsErrors
 {
-    std::vector<std::string> faults;
+    std::vector<std::string> errors;
 };
 
 /**
@@ -39,14 +39,14 @@
      *
      * @return All errors, unless there are none or help is requested.
      */
-    std::variant<CommandLine, CommandLineFaults> parse(int argc, char **argv) const;
+    std::variant<CommandLine, SettingsErrors> parse(int argc, char **argv) const;
     /**
      * Reads settings from the text of a file: one NAME=VALUE per line. Lines that start with #
      * are ignored, and an empty value leaves the setting unchanged.
      *
      * @param path Name of the file in error messages.
      */
-    CommandLineFaults parseFile(const std::string &text, const std::string &path) const;
+    SettingsErrors parseFile(const std::string &text, const std::string &path) const;
     /** Returns the text that --help prints. */
     std::string help() const;
     /** Returns one table row per flag for docs/SETTINGS.md. */
--- a/tests/settings/flagsettest.cpp
+++ b/tests/settings/flagsettest.cpp
@@ -13,13 +13,13 @@
 class FlagSetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FlagSetTest);
-    CPPUNIT_TEST(reportsAllFaults);
+    CPPUNIT_TEST(reportsAllErrors);
     CPPUNIT_TEST(commandLineTakesPrecedenceOverEnvironment);
     CPPUNIT_TEST(recognisesTheVersionOption);
     CPPUNIT_TEST(settingsPageMatchesTheFlags);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::variant<CommandLine, CommandLineFaults> parse(std::vector<std::string> arguments)
+    static std::variant<CommandLine, SettingsErrors> parse(std::vector<std::string> arguments)
     {
         arguments.insert(arguments.begin(), "indigowayd");
         std::vector<char *> argv;
@@ -29,14 +29,14 @@
         return daemonFlags().parse(static_cast<int>(argv.size()), argv.data());
     }
 
-    void reportsAllFaults()
+    void reportsAllErrors()
     {
         const auto parsed = parse({"--most-open=many", "--nonsense=1", "--node"});
-        CPPUNIT_ASSERT_EQUAL(std::size_t {3}, std::get<CommandLineFaults>(parsed).faults.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {3}, std::get<SettingsErrors>(parsed).errors.size());
         CPPUNIT_ASSERT(std::holds_alternative<CommandLine>(
             parse({"--node=a.b", "--domain=", "--callers=x", "--token=short", "--most-open=1"})));
         const auto settings = checkedDaemonSettings(1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t {4}, std::get<CommandLineFaults>(settings).faults.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t {4}, std::get<SettingsErrors>(settings).errors.size());
     }
 
     void commandLineTakesPrecedenceOverEnvironment()
