--- a/src/settings/flagset.h
+++ b/src/settings/flagset.h
@@ -37,7 +37,7 @@
     /**
      * Reads the environment, then the command line, which takes precedence.
      *
-     * @return All errors, unless there are none or help is requested.
+     * @return The command line, or all errors unless help is requested.
      */
     std::variant<CommandLine, SettingsErrors> parse(int argc, char **argv) const;
     /**
