--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -41,8 +41,8 @@
     if (quota.unit == QuotaUnit::Requests) {
         return 1;
     }
-    const bool hasTokenCounts = arrival.promptTokens > 0 || arrival.mostOutputTokens > 0;
-    return hasTokenCounts ? static_cast<double>(arrival.promptTokens) + arrival.mostOutputTokens
+    const bool hasTokenCounts = arrival.promptTokens > 0 || arrival.maxOutputTokens > 0;
+    return hasTokenCounts ? static_cast<double>(arrival.promptTokens) + arrival.maxOutputTokens
                           : quota.plainCost;
 }
 
--- a/src/dispatch/generationlimits.cpp
+++ b/src/dispatch/generationlimits.cpp
@@ -33,15 +33,15 @@
 
 scheduling::MemoryNeed memoryNeedOf(const ArrivedRequest &arrival)
 {
-    const std::uint64_t most = arrival.mostOutputTokens;
-    const std::uint64_t likely = arrival.likelyOutputTokens.value_or(arrival.mostOutputTokens);
+    const std::uint64_t most = arrival.maxOutputTokens;
+    const std::uint64_t likely = arrival.likelyOutputTokens.value_or(arrival.maxOutputTokens);
     return {arrival.promptTokens + BlockTokens, std::min(likely, most), most};
 }
 
 std::uint64_t unscheduledReservation(const ArrivedRequest &arrival,
                                      const scheduling::MemoryNeed &need)
 {
-    const std::uint64_t most = arrival.mostOutputTokens;
+    const std::uint64_t most = arrival.maxOutputTokens;
     return need.contextTokens + std::min(most, scaled(need.outputTokens, UnscheduledOutputFactor));
 }
 
@@ -52,7 +52,7 @@
 
 Duration maxQueueTime(const OpenRequest &request)
 {
-    if (request.urgency() == scheduling::Urgency::GoesOn) {
+    if (request.urgency() == scheduling::Urgency::Resumed) {
         return MaxResumeQueueTime;
     }
     const auto target = static_cast<double>(request.route->target.count());
--- a/src/dispatch/phasecontroller.cpp
+++ b/src/dispatch/phasecontroller.cpp
@@ -48,7 +48,7 @@
     m_workRequestedAt = step.now;
     for (const auto &[name, service] : table.services()) {
         if (service.engine) {
-            step.add(SendToScheduler {scheduling::WorkAsked {name}});
+            step.add(SendToScheduler {scheduling::WorkQuery {name}});
         }
     }
 }
@@ -93,9 +93,9 @@
 
 void PhaseController::reportChange(Step &step, const ServerName &server, bool isAccepted) const
 {
-    step.add(SendToScheduler {
-        scheduling::EngineChanging {server, m_orders.orderedPhase(server),
-                                    m_orders.remainingChangeTime(server, step.now), isAccepted}});
+    step.add(SendToScheduler {scheduling::PhaseChangeNotice {
+        server, m_orders.orderedPhase(server), m_orders.remainingChangeTime(server, step.now),
+        isAccepted}});
 }
 
 std::string PhaseController::workText(const ServiceName &service) const
--- a/src/dispatch/schedulerclaims.h
+++ b/src/dispatch/schedulerclaims.h
@@ -25,12 +25,12 @@
     bool isAvailable(TimePoint now) const { return m_scheduler && now >= m_unavailableUntil; }
 
     /** Sends a claim for @p request, which must not have one. */
-    void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration waitsAtMost);
+    void claim(Step &step, OpenRequest &request, const DomainName &domain, Duration maxWait);
     /** Reports a reservation that this node made without a claim. */
     void reportReservation(Step &step, OpenRequest &request);
     void prefillEnded(Step &step, const OpenRequest &request, bool isDone, bool isReachable);
     /** Ends the claim of @p request and releases what it was granted. */
-    void end(Step &step, OpenRequest &request, scheduling::ClaimEnd result);
+    void end(Step &step, OpenRequest &request, scheduling::ClaimOutcome result);
 
     /**
      * Handles an answer of the scheduler. All reservations in @p requests are reported to a new
--- a/tests/dispatch/phasecontrollertest.cpp
+++ b/tests/dispatch/phasecontrollertest.cpp
@@ -50,7 +50,7 @@
         DispatcherHarness harness;
         prepare(harness);
         pass(harness, 0, 500);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<scheduling::WorkAsked>().service == Engines);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<scheduling::WorkQuery>().service == Engines);
         CPPUNIT_ASSERT(!harness.hasCalls());
     }
 
@@ -60,7 +60,8 @@
         prepare(harness);
         pass(harness, 0, 500);
         harness.reduce(
-            510, SchedulerAnswered {scheduling::WorkTold {Engines, MuchDecoding}, Incarnation(3)});
+            510,
+            SchedulerAnswered {scheduling::WorkReport {Engines, MuchDecoding}, Incarnation(3)});
         pass(harness, 750, 3'000);
         const StartCall report = harness.nextCall(CallKind::Report);
         CPPUNIT_ASSERT(report.server.text().starts_with("p"));
@@ -76,7 +77,7 @@
         harness.dispatcher().setOrderRight(true);
         harness.reduce(0, TimePassed {});
         harness.reduce(
-            10, SchedulerAnswered {scheduling::WorkTold {Engines, MuchDecoding}, Incarnation(3)});
+            10, SchedulerAnswered {scheduling::WorkReport {Engines, MuchDecoding}, Incarnation(3)});
         harness.advance(20, 1'000);
         CPPUNIT_ASSERT(!harness.dispatcher().wantsOrderToken());
         harness.advance(1'010, 2'000);
--- a/tests/dispatch/schedulerclaimstest.cpp
+++ b/tests/dispatch/schedulerclaimstest.cpp
@@ -64,7 +64,7 @@
         const StartCall decode = harness.nextCall(CallKind::Decode);
         harness.reduce(180, StreamStarted {decode.call, 200, {}});
         harness.end(3'000, decode, CallEnd::Complete, 200);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::Served);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().outcome == ClaimOutcome::Served);
         CPPUNIT_ASSERT_EQUAL(std::string("streamed"), harness.outcome(request));
     }
 
@@ -74,7 +74,7 @@
         useScheduler(harness);
         harness.arrive(0, "stream", Prompt);
         ClaimGranted granted = grantOf(harness.nextSchedulerMessage<Claim>(), "d2", "");
-        granted.readsWhole = true;
+        granted.prefillsLocally = true;
         harness.reduce(5, SchedulerAnswered {granted, Life});
         const StartCall reserve = harness.nextCall(CallKind::Reserve);
         // The engine refuses; the prefill on the decode engine does not apply to the next grant.
@@ -96,7 +96,7 @@
         harness.advance(10, 100);
         const auto second = harness.nextSchedulerMessage<Claim>();
         CPPUNIT_ASSERT(first.claim == second.claim);
-        CPPUNIT_ASSERT(second.untilTarget < first.untilTarget);
+        CPPUNIT_ASSERT(second.timeToTarget < first.timeToTarget);
     }
 
     // The scheduler does not answer. After about 300 ms the node must reserve engines itself.
@@ -133,12 +133,12 @@
         harness.grant(8, harness.nextCall(CallKind::Reserve));
         harness.dispatcher().setScheduler(NodeName("another"));
         harness.arrive(100, "stream", Prompt);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<RoomHeld>().claim == claim.claim);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ReservationReport>().claim == claim.claim);
         const auto second = harness.nextSchedulerMessage<Claim>();
         // The first report may be lost, so the first answer of a new incarnation triggers another
         // one.
         harness.reduce(105, SchedulerAnswered {ClaimQueued {second.claim}, Incarnation(2)});
-        const auto held = harness.nextSchedulerMessage<RoomHeld>();
+        const auto held = harness.nextSchedulerMessage<ReservationReport>();
         CPPUNIT_ASSERT(held.claim == claim.claim);
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
@@ -155,7 +155,7 @@
         harness.grant(8, harness.nextCall(CallKind::Reserve));
         harness.dispatcher().setScheduler(NodeName("another"));
         harness.reduce(250, TimePassed {});
-        const auto held = harness.nextSchedulerMessage<RoomHeld>();
+        const auto held = harness.nextSchedulerMessage<ReservationReport>();
         CPPUNIT_ASSERT(held.claim == claim.claim);
         CPPUNIT_ASSERT(held.decodeServer == ServerName("d1"));
     }
@@ -168,7 +168,8 @@
         const auto request = harness.arrive(0, "stream", Prompt);
         const auto claim = harness.nextSchedulerMessage<Claim>();
         harness.reduce(10, CallerLeft {request});
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::Dropped);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().outcome
+                       == ClaimOutcome::Cancelled);
         harness.reduce(12, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().claim == claim.claim);
         CPPUNIT_ASSERT(!harness.hasCalls());
@@ -182,7 +183,8 @@
         const auto claim = harness.nextSchedulerMessage<Claim>();
         harness.reduce(5, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         harness.end(8, harness.nextCall(CallKind::Reserve), CallEnd::NotExecuted, 503);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::HadNoRoom);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().outcome
+                       == ClaimOutcome::OutOfMemory);
         CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().claim != claim.claim);
     }
 
@@ -195,11 +197,13 @@
         const auto claim = harness.nextSchedulerMessage<Claim>();
         harness.reduce(5, SchedulerAnswered {grantOf(claim, "d1", "p1"), Life});
         harness.end(8, harness.nextCall(CallKind::Reserve), CallEnd::Broken);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::EngineFailed);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().outcome
+                       == ClaimOutcome::EngineFailed);
         const auto second = harness.nextSchedulerMessage<Claim>();
         harness.reduce(15, SchedulerAnswered {grantOf(second, "d2", "p1"), Life});
         harness.end(18, harness.nextCall(CallKind::Reserve), CallEnd::NotConnected);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().end == ClaimEnd::Unreachable);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<ClaimEnded>().outcome
+                       == ClaimOutcome::Unreachable);
     }
 
     // Callers with clearly less time left than others of the route are retries.
@@ -208,11 +212,11 @@
         DispatcherHarness harness;
         useScheduler(harness);
         harness.arrive(0, "stream", Prompt);
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::Fresh);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::FirstAttempt);
         harness.arrive(10, "stream", Prompt, std::chrono::seconds(10));
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::ComingBack);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::Retried);
         harness.arrive(20, "stream", Prompt, std::chrono::seconds(12));
-        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::Fresh);
+        CPPUNIT_ASSERT(harness.nextSchedulerMessage<Claim>().urgency == Urgency::FirstAttempt);
     }
 };
 
