--- a/scripts/check-upgrade.sh
+++ b/scripts/check-upgrade.sh
@@ -17,7 +17,7 @@
 metric() { curl -s "http://${ADDRESSES[$1.metrics]}/metrics" | sed -n "s/^indigoway_$2 //p" | cut -d. -f1; }
 scheduled_by() { grep '"kind":"scheduler"' "$RUN/$1.out" | tail -n 1 | grep -q "\"scheduler\":\"$2\""; }
 learns_from() { grep '"kind":"upstream"' "$RUN/$1.out" | tail -n 1 | grep -q "from=$(logged_address "$2" '"control":"[^"]*"') "; }
-serves_extra() { [ "$(call "$1" "/$2/a" "id-$RANDOM$RANDOM")" = 200 ]; }
+serves_prefix() { [ "$(call "$1" "/$2/a" "id-$RANDOM$RANDOM")" = 200 ]; }
 waits_for_start() { wait_for "$1 to be ready" ready "$1" || fail "$1 is not ready"; }
 
 # A stream through NODE is granted by SCHEDULER, which is another node.
@@ -29,6 +29,21 @@
     [ "$(metric "$2" scheduler_engines_looked)" -gt "$before" ] || fail "$2 placed nothing for $1"
 }
 
+# NEWCOMER serves beside SCHEDULER, takes its updates, and both apply the next routing change.
+works_beside() { # NEWCOMER SCHEDULER VERSION PREFIX
+    local newcomer=$1 scheduler=$2 node
+    waits_for_start "$newcomer"
+    wait_for "$scheduler to list $newcomer" lists_node "$scheduler" "$newcomer" || fail "$scheduler does not list $newcomer"
+    wait_for "$newcomer to list $scheduler" lists_node "$newcomer" "$scheduler" || fail "$newcomer does not list $scheduler"
+    granted_across "$newcomer" "$scheduler" "id-$newcomer"
+    wait_for "$newcomer to learn from $scheduler" learns_from "$newcomer" "$scheduler" \
+        || fail "$newcomer does not learn the store's state from $scheduler"
+    control platform "{\"version\":$3,\"prefix\":\"/$4/\"}"
+    for node in "$newcomer" "$scheduler"; do
+        wait_for "version $3 on $node" serves_prefix "$node" "$4" || fail "version $3 is not in force on $node"
+    done
+}
+
 check_edge() { # FIRST SECOND
     local first=$1 second=$2
     printf '# the same file for both builds\nretry_ratio=0.3\nretry_window_s=8\nlist_kept_s=1\n' >"$RUN/settings"
@@ -39,28 +54,14 @@
     serves n1 id-alone || fail "requests through n1 alone"
 
     BUILD=$second start_edge n2
-    waits_for_start n2
-    wait_for "n1 to list n2" lists_node n1 n2 || fail "n1 does not list n2"
-    wait_for "n2 to list n1" lists_node n2 n1 || fail "n2 does not list n1"
-    granted_across n2 n1 id-two
+    works_beside n2 n1 2 extra
     serves n1 id-one || fail "requests through n1 beside n2"
-    wait_for "n2 to learn from n1" learns_from n2 n1 || fail "n2 does not learn the store's state from n1"
-    control platform '{"version":2,"prefix":"/extra/"}'
-    for node in n1 n2; do
-        wait_for "the change on $node" serves_extra $node extra || fail "no change on $node"
-    done
 
     kill -KILL "${PIDS[n1]}"
     wait_for "n2 to schedule" scheduled_by n2 n2 || fail "n2 does not take over the scheduling"
     serves n2 id-after || fail "requests through n2 after n1 was killed"
     BUILD=$first start_edge n3
-    waits_for_start n3
-    granted_across n3 n2 id-three
-    wait_for "n3 to learn from n2" learns_from n3 n2 || fail "n3 does not learn the store's state from n2"
-    control platform '{"version":3,"prefix":"/more/"}'
-    for node in n2 n3; do
-        wait_for "the second change on $node" serves_extra $node more || fail "no second change on $node"
-    done
+    works_beside n3 n2 3 more
 
     kill -KILL "${PIDS[n2]}"
     wait_for "n3 to schedule" scheduled_by n3 n3 || fail "n3 does not take over the scheduling"
